--- a/lupintack/budgets/allocator.py
+++ b/lupintack/budgets/allocator.py
@@ -16,7 +16,7 @@
 from lupintack.budgets.share_table import EqualShareTable, ShareTable, WeightedShareTable
 from lupintack.budgets.terms import Terms
 
-COVER_WAIT_PART = 4  # a new tenure waits for its parent lease for this part of a lease's time
+COVERAGE_WAIT_DIVISOR = 4  # a new tenure waits for its parent lease for this part of a lease's time
 
 
 def equal_weight(name: str) -> int:
@@ -59,7 +59,7 @@
 
     @shared_names.setter
     def shared_names(self, names: frozenset[str]) -> None:
-        self.ledger.share_names(names)
+        self.ledger.set_shared_names(names)
 
     def set_allocatable(self, allocatable: Amounts, ceiling: Amounts) -> None:
         """Set the amounts to share out, and the most that a grant may raise the ledger's sums to."""
@@ -150,30 +150,33 @@
         until_us = self._booked_until_us(entry, end_us, now_us)
         if entry is None and request.name in self.shared_names:
             self.forget_demand(request.name)
-        target = given = self._target(key, request, entry is None, now_us)
+        target = granted = self._target(key, request, entry is None, now_us)
         if not is_ready:
-            given = limited(given, request.leased_amounts)
+            granted = limited(granted, request.leased_amounts)
         if is_ready or self.ceiling is not None:
-            given = self.limited_to_available(key, given)
-        booked = LedgerEntry(request.sequence, request.demand, largest(kept, given), until_us, self.zero)
-        if self._waits_for_cover(now_us) and self.lacks_cover(target, request.leased_amounts, given):
+            granted = self.limited_to_available(key, granted)
+        booked = LedgerEntry(request.sequence, request.demand, largest(kept, granted), until_us, self.zero)
+        if self._waits_for_coverage(now_us) and self.lacks_coverage(target, request.leased_amounts, granted):
             self.ledger.set_entry(key, booked)
             return None
-        booked.granted, booked.granted_until_us = given, end_us
+        booked.granted, booked.granted_until_us = granted, end_us
         booked.granted_lease_us = end_us - now_us
         self.ledger.set_entry(key, booked)
         return self.grant(request, booked)
 
-    def _waits_for_cover(self, now_us: int) -> bool:
+    def _waits_for_coverage(self, now_us: int) -> bool:
         """Return whether a new tenure may still get its first parent lease."""
-        return self.ceiling is not None and now_us < self.elected_us + self.terms.lease_us // COVER_WAIT_PART
+        return (
+            self.ceiling is not None
+            and now_us < self.elected_us + self.terms.lease_us // COVERAGE_WAIT_DIVISOR
+        )
 
-    def lacks_cover(self, target: Amounts, leased: Amounts, given: Amounts) -> bool:
+    def lacks_coverage(self, target: Amounts, leased: Amounts, granted: Amounts) -> bool:
         """Return whether only the lack of a parent lease makes a grant smaller than the older lease.
 
         Such a request is left unanswered for a while: its holder keeps its lease and repeats the request.
         """
-        return any(min(t, h) > g for t, h, g in zip(target, leased, given, strict=True))
+        return any(min(t, h) > g for t, h, g in zip(target, leased, granted, strict=True))
 
     def left_unanswered(self, request: LeaseRequest) -> bool:
         """Return whether this is a holder's last request and got no answer; it may be handled again."""
@@ -183,7 +186,7 @@
 
     def forget_demand(self, name: str) -> None:
         """Set the demand of a shared name's older holders to zero: a new holder succeeds them."""
-        for key, entry in self.ledger.sharing.get(name, {}).items():
+        for key, entry in self.ledger.shared_entries.get(name, {}).items():
             entry.demand = self.zero
             self.shares.update(key, self.zero, max(1, self.weight_of(name)))
 
--- a/lupintack/budgets/amounts.py
+++ b/lupintack/budgets/amounts.py
@@ -25,11 +25,11 @@
 
 def replaced(amounts: Amounts, budgets: Iterable[int], by: Amounts) -> Amounts:
     """Return the amounts, with those of some budgets taken from `by`."""
-    found: list[int] | None = None
+    result: list[int] | None = None
     for budget in budgets:
-        found = found if found is not None else list(amounts)
-        found[budget] = by[budget]
-    return tuple(found) if found is not None else amounts
+        result = result if result is not None else list(amounts)
+        result[budget] = by[budget]
+    return tuple(result) if result is not None else amounts
 
 
 def limited(amounts: Amounts, limits: Amounts) -> Amounts:
--- a/lupintack/budgets/codec.py
+++ b/lupintack/budgets/codec.py
@@ -76,7 +76,7 @@
         """`codec`: keys the code of each message; `budgets`: the length of each row of amounts."""
         self.codec, self.budgets = codec, budgets
         self.encoder = msgspec.msgpack.Encoder()
-        self.envelopes = msgspec.msgpack.Decoder(Envelope)
+        self.envelope_decoder = msgspec.msgpack.Decoder(Envelope)
         self.decoders: list[Any] = [msgspec.msgpack.Decoder(kind) for kind in KINDS]
 
     def encode(self, sender: str, address: str, message: Message) -> bytes:
@@ -90,7 +90,7 @@
         # The magic is under the code: a message of the membership can't be passed off as one of these.
         body = checked_body(self.codec, raw, ONE_LEVEL, MAGIC)
         try:
-            envelope = self.envelopes.decode(body)
+            envelope = self.envelope_decoder.decode(body)
             message = decode_message(self.decoders, envelope.kind, envelope.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             raise MessageError(DropReason.UNREADABLE) from None
@@ -111,7 +111,7 @@
         self.levels = {text: level for level, text in self.regions.items()}
         self.row_lengths = {Level.FLEET: fleet_wide, Level.REGION: budgets}
         self.encoder = msgspec.msgpack.Encoder()
-        self.envelopes = msgspec.msgpack.Decoder(LevelEnvelope)
+        self.envelope_decoder = msgspec.msgpack.Decoder(LevelEnvelope)
         self.decoders: list[Any] = [msgspec.msgpack.Decoder(kind) for kind in TWO_LEVEL_KINDS]
 
     def encode(self, sender: str, address: str, level: Level, message: Message) -> bytes:
@@ -125,7 +125,7 @@
         """Return a datagram's contents; raises Bad for any other, also for another region's level."""
         body = checked_body(self.codec, raw, TWO_LEVELS, self.PREFIX)
         try:
-            envelope = self.envelopes.decode(body)
+            envelope = self.envelope_decoder.decode(body)
             message = decode_message(self.decoders, envelope.kind, envelope.body)
         except (msgspec.MsgspecError, ValueError, RecursionError):
             raise MessageError(DropReason.UNREADABLE) from None
@@ -157,9 +157,9 @@
     return message
 
 
-def check_message(message: Message, texts: tuple[str, ...], row_length: int) -> None:
+def check_message(message: Message, sender_and_address: tuple[str, ...], row_length: int) -> None:
     """Raise Bad for texts and numbers out of bounds, and for rows of another length."""
-    for text in texts:
+    for text in sender_and_address:
         check_field(text)
     fields: tuple[Any, ...] = message
     for field in fields:
--- a/lupintack/budgets/demand_index.py
+++ b/lupintack/budgets/demand_index.py
@@ -71,9 +71,9 @@
         begin = bisect_left(ordered, (amount, -1))  # no position is below zero
         end = bisect_left(ordered, (amount + 1, -1), lo=begin)
         size = end - begin
-        turned = bisect_left(ordered, (amount, first_position), lo=begin, hi=end) - begin
+        rotated_offset = bisect_left(ordered, (amount, first_position), lo=begin, hi=end) - begin
         from_end = count - (len(ordered) - end)
-        return ordered[begin + (turned + size - from_end) % size]
+        return ordered[begin + (rotated_offset + size - from_end) % size]
 
     def clone(self) -> DemandIndex:
         """Return a copy that shares nothing that changes."""
--- a/lupintack/budgets/election.py
+++ b/lupintack/budgets/election.py
@@ -42,13 +42,18 @@
 
     def handle_reply(self, reply: VoteReply, now_us: int) -> bool:
         """Return whether this reply makes or extends the term, which counts from the sending of its round."""
-        found = self.rounds.get(reply.round)
-        if reply.epoch != self.epoch or found is None or not reply.granted or reply.voter not in self.voters:
+        vote_round = self.rounds.get(reply.round)
+        if (
+            reply.epoch != self.epoch
+            or vote_round is None
+            or not reply.granted
+            or reply.voter not in self.voters
+        ):
             return False
-        found.granted_by.add(reply.voter)
-        if len(found.granted_by) * 2 <= len(self.voters):
+        vote_round.granted_by.add(reply.voter)
+        if len(vote_round.granted_by) * 2 <= len(self.voters):
             return False
-        until = found.sent_us + self.terms.drift_safe(self.terms.promise_us)
+        until = vote_round.sent_us + self.terms.drift_safe(self.terms.promise_us)
         if now_us >= until:
             return False
         self.until_us = max(self.until_us, until)
--- a/lupintack/budgets/hierarchy.py
+++ b/lupintack/budgets/hierarchy.py
@@ -228,9 +228,9 @@
             self.parent.update(now_us)
             self._set_pool(allocator, now_us)
             self._report_to_fleet(allocator, now_us)
-            self._hasten_request(allocator, now_us)
+            self._request_sooner(allocator, now_us)
 
-    def _hasten_request(self, allocator: Allocator, now_us: int) -> None:
+    def _request_sooner(self, allocator: Allocator, now_us: int) -> None:
         """Ask the fleet's allocator sooner where it books more or less for the region than it will have.
 
         A new allocator of a region learns its routers' demand from request to request; and what routers have
@@ -240,11 +240,11 @@
         last = holder.last_request
         if last is None or not holder.is_answered:
             return
-        returned = any(map(gt, last.in_use, holder.amounts))
-        wanting = any(map(gt, last.demand, holder.amounts))
-        if returned or wanting or now_us < allocator.ready_us:
-            soon = holder.requested_us + self.terms.retry_us
-            self.fleet.next_request_us = min(self.fleet.next_request_us, soon)
+        has_returned_units = any(map(gt, last.in_use, holder.amounts))
+        needs_more = any(map(gt, last.demand, holder.amounts))
+        if has_returned_units or needs_more or now_us < allocator.ready_us:
+            earliest_us = holder.requested_us + self.terms.retry_us
+            self.fleet.next_request_us = min(self.fleet.next_request_us, earliest_us)
 
     def _set_pool(self, allocator: Allocator, now_us: int) -> None:
         """Set the amounts that the region's allocator may grant, and until when its leases may last.
@@ -252,14 +252,16 @@
         A lease that draws on the parent lease ends before it. One that need not is granted only where all
         that is booked fits into the reservation, so what outlives the parent lease is covered without it.
         """
-        ends = self.parent.ends_us(now_us)
+        parent_ends_us = self.parent.ends_us(now_us)
         # Near its end each router requests once more, and gets a lease that does not end with it.
-        usable = ends is not None and ends - now_us > self.terms.request_interval_us * 5 // 4
-        none = self.fleet.holder.zero
-        allocator.expires_by_us = ends if usable else None
+        usable = (
+            parent_ends_us is not None and parent_ends_us - now_us > self.terms.request_interval_us * 5 // 4
+        )
+        zero = self.fleet.holder.zero
+        allocator.expires_by_us = parent_ends_us if usable else None
         allocator.set_allocatable(
-            self._with_reserved(self.fleet.holder.amounts if usable else none, True),
-            self._with_reserved(self.parent.covered if usable else none, now_us >= allocator.ready_us),
+            self._with_reserved(self.fleet.holder.amounts if usable else zero, True),
+            self._with_reserved(self.parent.covered if usable else zero, now_us >= allocator.ready_us),
         )
 
     def _with_reserved(self, leased: tuple[int, ...], counts_reservation: bool) -> tuple[int, ...]:
@@ -274,15 +276,15 @@
         Until an older tenure's leases are over, the reservation may be in use by these.
         """
         pool = self.plan.region_pool[: self.plan.fleet_wide]
-        free = pool if now_us >= allocator.ready_us else (0,) * len(pool)
+        usable_reservation = pool if now_us >= allocator.ready_us else (0,) * len(pool)
         demand = (max(0, a - r) for a, r in zip(allocator.total_demand(), pool, strict=False))
-        in_use = (max(0, a - r) for a, r in zip(allocator.allocated(), free, strict=False))
+        in_use = (max(0, a - r) for a, r in zip(allocator.allocated(), usable_reservation, strict=False))
         self.fleet.set_demand(tuple(demand), tuple(in_use))
 
     def _prepare_region(self, allocator: Allocator) -> None:
         """Set up a new allocator: no parent lease yet, and the reservation may be in use."""
-        none = self.fleet.holder.zero
-        allocator.set_allocatable(self._with_reserved(none, True), self._with_reserved(none, False))
+        zero = self.fleet.holder.zero
+        allocator.set_allocatable(self._with_reserved(zero, True), self._with_reserved(zero, False))
 
     def _prepare_fleet(self, allocator: Allocator) -> None:
         """Set up a new allocator: successive allocators of a region share one booking."""
--- a/lupintack/budgets/invariant.py
+++ b/lupintack/budgets/invariant.py
@@ -67,25 +67,25 @@
 def violations(state: BudgetState) -> list[Violation]:
     """Return each bound that is exceeded; none while the invariant holds."""
     leased = _leased_by_region(state)
-    found = _fleet_violations(state, leased)
+    result = _fleet_violations(state, leased)
     if state.parent_leases:
-        found += _parent_violations(state)
+        result += _parent_violations(state)
     for bounds in state.regions:
         if bounds.own or state.bookings is not None:
-            found += _region_violations(state, bounds, leased[bounds.region])
-    return found
+            result += _region_violations(state, bounds, leased[bounds.region])
+    return result
 
 
 def _leased_by_region(state: BudgetState) -> dict[str, list[int]]:
-    found = {one.region: [0] * (len(one.reserve) + len(one.own)) for one in state.regions}
+    result = {bounds.region: [0] * (len(bounds.reserve) + len(bounds.own)) for bounds in state.regions}
     for region, amounts in state.leases:
-        sums = found[region]
+        sums = result[region]
         for n, amount in enumerate(amounts):
             sums[n] += amount
-    return found
+    return result
 
 
-def _over(
+def _exceeded_bounds(
     scope: str, rule: str, sums: Sequence[int], bounds: Sequence[int], first: int = 0
 ) -> list[Violation]:
     if not any(map(gt, sums, bounds)):
@@ -99,30 +99,30 @@
     sums = list(map(sum, zip(*(row[: len(state.fleet_allocatable)] for row in leased.values()), strict=True)))
     reserves = zip(*(bounds.reserve for bounds in state.regions), strict=True)
     bounds = [total + sum(row) for total, row in zip(state.fleet_allocatable, reserves, strict=True)]
-    return _over(FLEET, "leases of routers", sums, bounds)
+    return _exceeded_bounds(FLEET, "leases of routers", sums, bounds)
 
 
 def largest_by_region(rows: Sequence[RegionAmounts]) -> dict[str, tuple[int, ...]]:
     """Return the largest amounts of each region: its successive allocators share one booking."""
-    found: dict[str, tuple[int, ...]] = {}
+    result: dict[str, tuple[int, ...]] = {}
     for region, amounts in rows:
-        found[region] = tuple(map(max, found.get(region, amounts), amounts))
-    return found
+        result[region] = tuple(map(max, result.get(region, amounts), amounts))
+    return result
 
 
 def _parent_violations(state: BudgetState) -> list[Violation]:
     """Check that parent leases sum to at most what the fleet's allocator may grant."""
     rows = largest_by_region(state.parent_leases).values()
     sums = [sum(row[n] for row in rows) for n in range(len(state.fleet_allocatable))]
-    return _over(FLEET, "parent leases", sums, state.fleet_allocatable)
+    return _exceeded_bounds(FLEET, "parent leases", sums, state.fleet_allocatable)
 
 
 def _region_violations(state: BudgetState, bounds: RegionBounds, leased: list[int]) -> list[Violation]:
     """Check a region's own budgets, and that its leases beyond its reserve are booked at the fleet."""
     fleet_wide = len(bounds.reserve)
-    found = _over(bounds.region, "leases of its own", leased[fleet_wide:], bounds.own, fleet_wide)
+    result = _exceeded_bounds(bounds.region, "leases of its own", leased[fleet_wide:], bounds.own, fleet_wide)
     if state.bookings is not None:
         allocated = largest_by_region(state.bookings).get(bounds.region, (0,) * fleet_wide)
         backed = [reserve + amount for reserve, amount in zip(bounds.reserve, allocated, strict=True)]
-        found += _over(bounds.region, "leases beyond booking", leased[:fleet_wide], backed)
-    return found
+        result += _exceeded_bounds(bounds.region, "leases beyond booking", leased[:fleet_wide], backed)
+    return result
--- a/lupintack/budgets/ledger.py
+++ b/lupintack/budgets/ledger.py
@@ -45,7 +45,7 @@
         self.expiry_queue: list[tuple[int, HolderKey]] = []
         self.queued: dict[HolderKey, int] = {}
         self.shared_names: frozenset[str] = frozenset()
-        self.sharing: dict[str, dict[HolderKey, LedgerEntry]] = {}  # the entries of each shared name
+        self.shared_entries: dict[str, dict[HolderKey, LedgerEntry]] = {}  # the entries of each shared name
 
     def __getitem__(self, key: HolderKey) -> LedgerEntry:
         """Return a holder's entry; KeyError without one."""
@@ -65,9 +65,9 @@
         del self.entries[key]
         self.queued.pop(key, None)
         if key[0] in self.shared_names:
-            del self.sharing[key[0]][key]
-            if not self.sharing[key[0]]:
-                del self.sharing[key[0]]
+            del self.shared_entries[key[0]][key]
+            if not self.shared_entries[key[0]]:
+                del self.shared_entries[key[0]]
         self._adjust_sums(before, self.booking(key))
 
     def set_limits(self, limits: Amounts) -> None:
@@ -76,11 +76,11 @@
             self.limits = limits
             self.overbooked = {n for n, (a, b) in enumerate(zip(self.sums, limits, strict=True)) if a > b}
 
-    def share_names(self, names: frozenset[str]) -> None:
+    def set_shared_names(self, names: frozenset[str]) -> None:
         """Count successive holders of one of these names as one booking from now on."""
         entries, self.entries = self.entries, {}
         self.sums, self.overbooked = [0] * len(self.zero), set()
-        self.shared_names, self.sharing = names, {}
+        self.shared_names, self.shared_entries = names, {}
         for key, entry in entries.items():
             self.set_entry(key, entry)
 
@@ -89,7 +89,7 @@
         before = self.booking(key)
         self.entries[key] = entry
         if key[0] in self.shared_names:
-            self.sharing.setdefault(key[0], {})[key] = entry
+            self.shared_entries.setdefault(key[0], {})[key] = entry
         self._adjust_sums(before, self.booking(key))
         # A later time needs no new item: the queued one finds it.
         queued_us = self.queued.get(key)
@@ -99,8 +99,8 @@
     def booking(self, key: HolderKey) -> Amounts:
         """Return what counts in the sums for this holder, or for its name where that is shared."""
         if key[0] in self.shared_names:
-            sharing = self.sharing.get(key[0], {}).values()
-            return reduce(largest, [entry.amounts for entry in sharing], self.zero)
+            entries = self.shared_entries.get(key[0], {}).values()
+            return reduce(largest, [entry.amounts for entry in entries], self.zero)
         entry = self.entries.get(key)
         return entry.amounts if entry is not None else self.zero
 
@@ -112,14 +112,14 @@
     def limited_to_available(self, key: HolderKey, amounts: Amounts) -> Amounts:
         """Return the amounts, each at most what is available to the holder."""
         own = self.booking(key)
-        found: list[int] | None = None
+        result: list[int] | None = None
         # Where a sum keeps its limit, a holder can be given what is booked for it already.
         for budget in {*self.overbooked, *exceeding_budgets(amounts, own)}:
             available = max(0, self.limits[budget] - self.sums[budget] + own[budget])
             if amounts[budget] > available:
-                found = found if found is not None else list(amounts)
-                found[budget] = available
-        return tuple(found) if found is not None else amounts
+                result = result if result is not None else list(amounts)
+                result[budget] = available
+        return tuple(result) if result is not None else amounts
 
     def expire(self, now_us: int) -> list[HolderKey]:
         """Remove the entries that are over, and return their keys."""
@@ -140,7 +140,10 @@
         """Return a copy that shares nothing that changes."""
         other = copy(self)
         other.entries = {key: copy(entry) for key, entry in self.entries.items()}
-        other.sharing = {name: {key: other.entries[key] for key in of} for name, of in self.sharing.items()}
+        other.shared_entries = {
+            name: {key: other.entries[key] for key in entries}
+            for name, entries in self.shared_entries.items()
+        }
         other.sums = self.sums.copy()
         other.overbooked = self.overbooked.copy()
         other.expiry_queue = self.expiry_queue.copy()
--- a/lupintack/budgets/node.py
+++ b/lupintack/budgets/node.py
@@ -198,7 +198,7 @@
 
     def _start_round(self, voter: Voter, now_us: int) -> None:
         assert self.election is not None
-        vote = self.election.start_round(now_us)
+        request = self.election.start_round(now_us)
         if self.allocator is not None:
             self.next_renewal_us = now_us + self.terms.renew_interval_us
         else:
@@ -207,8 +207,8 @@
             self.next_renewal_us = now_us + min(
                 self.terms.round_timeout_us << min(self.failed_rounds, MAX_DOUBLINGS), max_wait_us
             )
-        self.actions.sends += [(name, vote) for name in self.voters if name != self.name]
-        answer = voter.handle_request(vote, now_us)
+        self.actions.sends += [(name, request) for name in self.voters if name != self.name]
+        answer = voter.handle_request(request, now_us)
         self.actions.promise = voter.promise
         self._handle_vote_reply(answer, now_us)
 
--- a/lupintack/budgets/regions.py
+++ b/lupintack/budgets/regions.py
@@ -46,29 +46,33 @@
 
 def region_of_site(regions: Sequence[Region], site: str) -> Region:
     """Return the region of a site; raises RegionError where there is none, or more than one."""
-    found = [region for region in regions if site in region.sites]
-    if len(found) != 1:
-        raise RegionError(f"site {site!r} stands in {len(found)} regions, where one is wanted")
-    return found[0]
+    matches = [region for region in regions if site in region.sites]
+    if len(matches) != 1:
+        raise RegionError(f"site {site!r} stands in {len(matches)} regions, where one is wanted")
+    return matches[0]
 
 
 def plan_region(budgets: Sequence[Budget], regions: Sequence[Region], region: Region) -> RegionPlan:
     """Return a region's plan: `BUDGET.SITE` with a SITE of some region belongs to that region alone."""
-    owners = {site: one.name for one in regions for site in one.sites}
+    owners = {site: owner.name for owner in regions for site in owner.sites}
     fleet_wide = [budget for budget in budgets if site_of(budget.name) not in owners]
-    own = [budget for budget in budgets if owners.get(site_of(budget.name)) == region.name]
-    names = [one.name for one in regions]
-    shares = [reservations(b.total_units, b.reserved_per_mille, names)[region.name] for b in fleet_wide]
-    totals = [*shares, *(b.total_units for b in own)]
-    per_mille = [b.reserved_per_mille for b in (*fleet_wide, *own)]
+    region_budgets = [budget for budget in budgets if owners.get(site_of(budget.name)) == region.name]
+    region_names = [other.name for other in regions]
+    shares = [
+        reservations(b.total_units, b.reserved_per_mille, region_names)[region.name] for b in fleet_wide
+    ]
+    totals = [*shares, *(b.total_units for b in region_budgets)]
+    per_mille = [b.reserved_per_mille for b in (*fleet_wide, *region_budgets)]
     pairs = list(zip(totals, per_mille, strict=True))
     voter = region.voters[0]
     return RegionPlan(
         region=region,
-        weights=tuple((one.name, max(1, len(one.sites))) for one in regions),
-        budgets=(*fleet_wide, *own),
+        weights=tuple((other.name, max(1, len(other.sites))) for other in regions),
+        budgets=(*fleet_wide, *region_budgets),
         fleet_wide=len(fleet_wide),
-        fleet_allocatable=tuple(allocatable(b.total_units, b.reserved_per_mille, names) for b in fleet_wide),
+        fleet_allocatable=tuple(
+            allocatable(b.total_units, b.reserved_per_mille, region_names) for b in fleet_wide
+        ),
         region_pool=tuple(allocatable(total, part, region.voters) for total, part in pairs),
         name_reservations=tuple(reservations(total, part, region.voters)[voter] for total, part in pairs),
     )
--- a/lupintack/budgets/share_table.py
+++ b/lupintack/budgets/share_table.py
@@ -15,7 +15,7 @@
 from lupintack.budgets.ledger import HolderKey
 from lupintack.budgets.shares import Demand, max_min_fair
 
-WRAPPED = 1 << 62  # above all positions: added to those that come last after a rotation
+WRAP_OFFSET = 1 << 62  # above all positions: added to those that come last after a rotation
 
 
 class ShareTable(Protocol):
@@ -30,7 +30,7 @@
     def set_totals(self, totals: Amounts) -> None:
         """Set the units to divide of each budget."""
 
-    def take_snapshot(self, turn: int) -> None:
+    def take_snapshot(self, rotation: int) -> None:
         """Compute the targets from the present demands.
 
         Units of a budget that has fewer units than holders rotate with `turn`.
@@ -67,13 +67,13 @@
         """Set the units to divide of each budget."""
         self.totals = totals
 
-    def take_snapshot(self, turn: int) -> None:
+    def take_snapshot(self, rotation: int) -> None:
         """Compute the shares of all holders."""
         shares = []
         for budget, total in enumerate(self.totals):
             demands = [Demand(key, demand[budget], weight) for key, (demand, weight) in self.demands.items()]
             # Units rotate only where some holder has none: each move leaves them idle for a request or two.
-            shares.append(max_min_fair(total, demands, turn if total < len(demands) else 0))
+            shares.append(max_min_fair(total, demands, rotation if total < len(demands) else 0))
         self.targets = {key: tuple([share[key] for share in shares]) for key in self.demands}
 
     def target(self, key: HolderKey) -> Amounts:
@@ -180,11 +180,11 @@
         self.stale_budgets.update(changed_budgets(self.totals, totals))
         self.totals = totals
 
-    def take_snapshot(self, turn: int) -> None:
+    def take_snapshot(self, rotation: int) -> None:
         """Compute the levels of the budgets that have changed."""
         self.snapshot += 1
         count = len(self.positions)
-        first = turn % count if count else 0
+        first = rotation % count if count else 0
         budgets = self.stale_budgets
         if self.holders_changed or first != self.first_rank:
             budgets = set(range(len(self.totals)))
@@ -207,7 +207,7 @@
         if holder.changed_in_snapshot == self.snapshot and holder.snapshot_demand is not None:
             nonzero_demand = holder.snapshot_demand
         position = holder.position
-        rotated_position = position if position >= self.first_position else position + WRAPPED
+        rotated_position = position if position >= self.first_position else position + WRAP_OFFSET
         target = self._lent_to(position, rotated_position)
         for budget, amount in nonzero_demand:
             shortage = self.shortages[budget]
@@ -270,7 +270,7 @@
             return Shortage(level, None, rotates)
         first_position = self.first_position if rotates else 0
         amount, position = index.rank_from_top(remainder, first_position)
-        rotated = position if position >= first_position else position + WRAPPED
+        rotated = position if position >= first_position else position + WRAP_OFFSET
         return Shortage(level, (amount, rotated), rotates)
 
     def _lent_to(self, position: int, rotated_position: int) -> list[int]:
@@ -290,4 +290,4 @@
         """Return the position, as `target` compares it, of the holder of this rank."""
         rank += self.first_rank if rotates else 0
         count = len(self.positions)
-        return self.positions[rank] if rank < count else self.positions[rank - count] + WRAPPED
+        return self.positions[rank] if rank < count else self.positions[rank - count] + WRAP_OFFSET
--- a/lupintack/budgets/shares.py
+++ b/lupintack/budgets/shares.py
@@ -15,7 +15,7 @@
     weight: int = 1
 
 
-def max_min_fair(total: int, demands: Sequence[Demand], turn: int = 0) -> dict[Hashable, int]:
+def max_min_fair(total: int, demands: Sequence[Demand], rotation: int = 0) -> dict[Hashable, int]:
     """Return parts that sum to `total` where there is any demand, and never to more.
 
     Each gets its need, or as much by weight as any that gets less than its need. What nobody needs is lent in
@@ -24,21 +24,21 @@
     """
     if not demands or total <= 0:
         return {demand.key: 0 for demand in demands}
-    first = turn % len(demands)
+    first = rotation % len(demands)
     order = [*demands[first:], *demands[:first]]
-    parts: dict[Hashable, int] = {}
-    left, weights = total, sum(demand.weight for demand in demands)
+    shares: dict[Hashable, int] = {}
+    remaining, weights = total, sum(demand.weight for demand in demands)
     for demand in sorted(order, key=lambda demand: Fraction(demand.amount, demand.weight)):
-        parts[demand.key] = min(demand.amount, left * demand.weight // weights)
-        left -= parts[demand.key]
+        shares[demand.key] = min(demand.amount, remaining * demand.weight // weights)
+        remaining -= shares[demand.key]
         weights -= demand.weight
     for demand in order:  # what rounding left, to those that lack something
-        if left and parts[demand.key] < demand.amount:
-            parts[demand.key] += 1
-            left -= 1
+        if remaining and shares[demand.key] < demand.amount:
+            shares[demand.key] += 1
+            remaining -= 1
     for n, demand in enumerate(order):
-        parts[demand.key] += left // len(order) + (n < left % len(order))
-    return parts
+        shares[demand.key] += remaining // len(order) + (n < remaining % len(order))
+    return shares
 
 
 def smooth_demand(previous: int, needed_units: int) -> int:
--- a/lupintack/budgets/spending.py
+++ b/lupintack/budgets/spending.py
@@ -43,9 +43,9 @@
     def set_amounts(self, lease: int, lease_until_us: int, reservation: int, now_us: int) -> None:
         """Accumulate units up to `now_us` by the old amounts, while they lasted; then set the new amounts."""
         if self.budget.kind is BudgetKind.RATE:
-            length = min(max(0, now_us - self.updated_us), self.budget.burst_us)
-            leased = min(length, max(0, min(now_us, self.lease_until_us) - self.updated_us))
-            gained = min(self.reservation, reservation) * length + min(self.lease, lease) * leased
+            elapsed_us = min(max(0, now_us - self.updated_us), self.budget.burst_us)
+            leased_us = min(elapsed_us, max(0, min(now_us, self.lease_until_us) - self.updated_us))
+            gained = min(self.reservation, reservation) * elapsed_us + min(self.lease, lease) * leased_us
             self.accumulated = min(
                 self.accumulated + gained,
                 self.max_accumulated(lease if now_us < lease_until_us else 0, reservation),
@@ -99,8 +99,8 @@
         self, leases: Sequence[int], lease_until_us: int, reservations: Sequence[int], now_us: int
     ) -> None:
         """Set the amounts in the order of the budgets: leases with their end, and reservations."""
-        for balance, lease, floor in zip(self.balances.values(), leases, reservations, strict=True):
-            balance.set_amounts(lease, lease_until_us, floor, now_us)
+        for balance, lease, reservation in zip(self.balances.values(), leases, reservations, strict=True):
+            balance.set_amounts(lease, lease_until_us, reservation, now_us)
 
     def spend(self, units_by_budget: Mapping[str, int], now_us: int) -> str:
         """Spend all units or none; return the first budget that lacks units, "" where all were spent.
--- a/tests/reference_allocator.py
+++ b/tests/reference_allocator.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lupintack.budgets.allocator import COVER_WAIT_PART
+from lupintack.budgets.allocator import COVERAGE_WAIT_DIVISOR
 from lupintack.budgets.messages import Epoch, LeaseGrant, LeaseRequest, SubLeaseGrant
 from lupintack.budgets.shares import Demand, max_min_fair
 from lupintack.budgets.terms import Terms
@@ -136,7 +136,7 @@
         if now >= self.ready_us or self.ceiling is not None:
             given = tuple(max(0, min(t, f)) for t, f in zip(given, self.available_to(key), strict=True))
         mine.amounts = tuple(map(max, keep, given))
-        if self.ceiling is not None and now < self.elected_us + self.terms.lease_us // COVER_WAIT_PART:
+        if self.ceiling is not None and now < self.elected_us + self.terms.lease_us // COVERAGE_WAIT_DIVISOR:
             if any(min(t, h) > g for t, h, g in zip(target, request.leased_amounts, given, strict=True)):
                 return None
         mine.granted, mine.granted_until_us, mine.granted_lease_us = given, ends, ends - now
