--- a/lupintack/budgets/__init__.py
+++ b/lupintack/budgets/__init__.py
@@ -1,3 +1,4 @@
-"""Budgets of the whole fleet, allocated to its routers by leases and epochs. No I/O: docs/budgets.md has the
-promise.
+"""Allocation of fleet-wide budgets to routers by leases and epochs, without I/O.
+
+docs/budgets.md states the invariant that the allocation guarantees.
 """
--- a/lupintack/budgets/allocator.py
+++ b/lupintack/budgets/allocator.py
@@ -1,7 +1,8 @@
-"""The allocator of one epoch: what each holder may still have, and what can be granted.
+"""The allocator of one epoch: books the amounts of each holder and computes new grants.
 
-The ledger's sum never exceeds what is allocatable. An epoch knows nothing of what older ones granted; until
-all of that has expired it grants a holder no more than the holder says it has, so no sum grows.
+The ledger's sums never exceed the allocatable amounts. An epoch has no record of the grants of older epochs.
+Until all of these have expired, it grants a holder at most the amounts that the holder reports, so no sum
+grows.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from lupintack.budgets.share_table import EqualShareTable, ShareTable, WeightedShareTable
 from lupintack.budgets.terms import Terms
 
-COVERAGE_WAIT_DIVISOR = 4  # a new tenure waits for its parent lease for this part of a lease's time
+COVERAGE_WAIT_DIVISOR = 4  # a new tenure waits for its parent lease for lease_us divided by this
 
 
 def equal_weight(name: str) -> int:
@@ -26,27 +27,27 @@
 
 @dataclass(slots=True)
 class Allocator:
-    """A tenure from the moment at which a majority was known.
+    """Allocates the budgets for one tenure, which starts when a majority of votes has been received.
 
-    An allocator that grants from a lease of its own has a `ceiling` (what is surely booked for it now) beside
-    what it shares out, and an end for its leases. Successive holders of a name in `shared_names` (the
-    allocators of one region) have one booking: the largest of their entries counts, not the sum.
+    An allocator that grants from a parent lease also has a `ceiling` (the amounts that are certainly booked
+    for it now) and an end for the leases it grants. Successive holders of a name in `shared_names` (the
+    allocators of one region) share one booking: the largest of their entries counts, not the sum.
     """
 
     epoch: Epoch
-    allocatable: Amounts  # of each budget: the total without its reservations
+    allocatable: Amounts  # for each budget: the total minus its reservations
     terms: Terms
     elected_us: int
     weight_of: Callable[[str], int] = equal_weight
-    ceiling: Amounts | None = field(init=False, default=None)  # None: what is allocatable
-    expires_by_us: int | None = None  # no lease ends later than this; None: each has its full time
-    shares_computed_us: int = field(init=False, default=-1)  # -1: they have to be computed anew
+    ceiling: Amounts | None = field(init=False, default=None)  # None: `allocatable` is the limit
+    expires_by_us: int | None = None  # no lease ends after this; None: leases have their full length
+    shares_computed_us: int = field(init=False, default=-1)  # -1: shares must be recomputed
     zero: Amounts = field(init=False)
     ledger: Ledger = field(init=False)
     shares: ShareTable = field(init=False)
 
     def __post_init__(self) -> None:
-        """Begin with an empty ledger."""
+        """Create an empty ledger and share table."""
         self.zero = (0,) * len(self.allocatable)
         self.ledger = Ledger(self.allocatable)
         equal = self.weight_of is equal_weight
@@ -54,7 +55,7 @@
 
     @property
     def shared_names(self) -> frozenset[str]:
-        """Names of which successive holders have one booking."""
+        """Names whose successive holders share one booking."""
         return self.ledger.shared_names
 
     @shared_names.setter
@@ -62,7 +63,7 @@
         self.ledger.set_shared_names(names)
 
     def set_allocatable(self, allocatable: Amounts, ceiling: Amounts) -> None:
-        """Set the amounts to share out, and the most that a grant may raise the ledger's sums to."""
+        """Set the amounts to allocate, and the limit up to which a grant may raise the ledger's sums."""
         if allocatable != self.allocatable:
             self.allocatable = allocatable
             self.shares.set_totals(allocatable)
@@ -72,15 +73,16 @@
 
     @property
     def ready_us(self) -> int:
-        """From here on nothing that an older tenure gave can be alive.
+        """The time from which no lease granted by an older tenure can still be valid.
 
-        It gave before its term ended, which was before this one's majority; a holder counts
-        drift_safe(lease_us), which is over everywhere after lease_us of this clock.
+        An older tenure granted leases only before its term ended, which was before this tenure's majority.
+        A holder uses a lease for drift_safe(lease_us), which has passed on every clock after lease_us on
+        this one.
         """
         return self.elected_us + self.terms.lease_us
 
     def handle_request(self, request: LeaseRequest, now_us: int) -> LeaseGrant | SubLeaseGrant | None:
-        """Return the grant for a request, or None where it gets no answer. The term must hold at `now_us`."""
+        """Return the grant for a request, or None for no answer. The term must be valid at `now_us`."""
         if not self._is_well_formed(request):
             return None
         key = (request.name, request.start)
@@ -108,9 +110,9 @@
         return request.epoch == self.epoch and is_complete
 
     def _booked_until_us(self, entry: LedgerEntry | None, end_us: int, now_us: int) -> int:
-        """Return until when a holder's entry lasts, for a lease that ends at `end_us`.
+        """Return when a holder's entry expires, given a lease that ends at `end_us`.
 
-        What was granted before lasts until its own end, also where this grant ends sooner or gets lost.
+        Earlier grants stay booked until their own end, even if this grant ends sooner or is lost.
         """
         until_us = max(end_us, min(self.ready_us, now_us + self.terms.lease_us))
         return max(until_us, entry.until_us) if entry is not None else until_us
@@ -119,18 +121,18 @@
         return request.in_use if len(request.in_use) == len(self.allocatable) else self.zero
 
     def _release(self, key: HolderKey, request: LeaseRequest, until_us: int) -> None:
-        """Keep for a leaving holder only what it still has in use."""
+        """Reduce the booking of a leaving holder to the units that it still has in use."""
         self.shares.update(key, self.zero, 1)
         self.shares_computed_us = -1
         in_use = self._in_use(request)
         self.ledger.set_entry(key, LedgerEntry(request.sequence, self.zero, in_use, until_us, self.zero))
 
     def _kept_amounts(self, request: LeaseRequest, entry: LedgerEntry | None, is_ready: bool) -> Amounts:
-        """Return what the holder may have beside this grant.
+        """Return the amounts that the holder may have in addition to this grant.
 
-        What it reports is the most it can have of earlier grants, for it accepts none of them any more; of
-        this tenure's own it never has more than its entry says. Units in use past their lease go to nobody
-        else; nor to this holder, so no sum of leases grows by them.
+        The reported amounts are an upper bound on its earlier grants, as it accepts none of these any more.
+        Of this tenure's grants it never has more than its entry records. Units in use beyond the lease are
+        granted neither to other holders nor to this one, so no sum of leases grows by them.
         """
         kept = request.leased_amounts
         if is_ready and entry is None:
@@ -143,7 +145,7 @@
     def _allocate(
         self, key: HolderKey, request: LeaseRequest, end_us: int, now_us: int
     ) -> LeaseGrant | SubLeaseGrant | None:
-        """Book a new grant and return it; None where the request is to wait for the parent lease."""
+        """Book a new grant and return it, or None if the request has to wait for the parent lease."""
         entry = self.ledger.get(key)
         is_ready = now_us >= self.ready_us
         kept = self._kept_amounts(request, entry, is_ready)
@@ -165,33 +167,33 @@
         return self.grant(request, booked)
 
     def _waits_for_coverage(self, now_us: int) -> bool:
-        """Return whether a new tenure may still get its first parent lease."""
+        """Return whether a new tenure is still waiting for its first parent lease."""
         return (
             self.ceiling is not None
             and now_us < self.elected_us + self.terms.lease_us // COVERAGE_WAIT_DIVISOR
         )
 
     def lacks_coverage(self, target: Amounts, leased: Amounts, granted: Amounts) -> bool:
-        """Return whether only the lack of a parent lease makes a grant smaller than the older lease.
+        """Return whether a grant is smaller than the older lease only because a parent lease is missing.
 
-        Such a request is left unanswered for a while: its holder keeps its lease and repeats the request.
+        Such a request stays unanswered for a while: its holder keeps its lease and repeats the request.
         """
         return any(min(t, h) > g for t, h, g in zip(target, leased, granted, strict=True))
 
     def left_unanswered(self, request: LeaseRequest) -> bool:
-        """Return whether this is a holder's last request and got no answer; it may be handled again."""
+        """Return whether this is the holder's last request and is unanswered; it may be handled again."""
         entry = self.ledger.get((request.name, request.start))
         last = entry is not None and entry.sequence == request.sequence
         return last and entry is not None and not entry.granted_until_us and not request.leaving
 
     def forget_demand(self, name: str) -> None:
-        """Set the demand of a shared name's older holders to zero: a new holder succeeds them."""
+        """Set the demand of a shared name's older holders to zero, as a new holder replaces them."""
         for key, entry in self.ledger.shared_entries.get(name, {}).items():
             entry.demand = self.zero
             self.shares.update(key, self.zero, max(1, self.weight_of(name)))
 
     def grant(self, request: LeaseRequest, entry: LedgerEntry) -> LeaseGrant | SubLeaseGrant:
-        """Return the grant that is booked for a request."""
+        """Return the grant message for a request, as booked."""
         identity = (self.epoch, request.name, request.start, request.sequence, entry.granted)
         if self.ceiling is None:
             return LeaseGrant(*identity)
@@ -204,11 +206,11 @@
             self.shares_computed_us = -1
 
     def available_to(self, key: HolderKey) -> Amounts:
-        """Return the amounts that no other holder may have."""
+        """Return the amounts that are not booked for other holders."""
         return self.ledger.available_to(key)
 
     def limited_to_available(self, key: HolderKey, amounts: Amounts) -> Amounts:
-        """Return the amounts, limited to those that no other holder may have."""
+        """Return the amounts, limited to those that are not booked for other holders."""
         return self.ledger.limited_to_available(key, amounts)
 
     def allocated(self) -> Amounts:
@@ -225,19 +227,19 @@
         self.shares.take_snapshot(now_us // self.terms.lease_us)
 
     def targets(self) -> dict[HolderKey, Amounts]:
-        """Return each holder's share as computed last; empty where they have to be computed anew."""
+        """Return each holder's share as last computed; empty if the shares must be recomputed."""
         if self.shares_computed_us < 0:
             return {}
         return {key: self.shares.target(key) for key in self.ledger}
 
     def clone(self) -> Allocator:
-        """Return a copy that can go its own way."""
+        """Return an independent copy."""
         other = copy(self)
         other.ledger, other.shares = self.ledger.clone(), self.shares.clone()
         return other
 
     def _target(self, key: HolderKey, request: LeaseRequest, is_new: bool, now_us: int) -> Amounts:
-        """Take the holder's demand, and return its target by shares that are not older than they may be."""
+        """Record the holder's demand and return its share, recomputed if older than `share_interval_us`."""
         self.shares.update(key, request.demand, max(1, self.weight_of(request.name)))
         due_us = self.shares_computed_us + self.terms.share_interval_us
         if is_new or self.shares_computed_us < 0 or now_us >= due_us:
--- a/lupintack/budgets/amounts.py
+++ b/lupintack/budgets/amounts.py
@@ -1,7 +1,7 @@
-"""Amounts of all budgets side by side: one tuple, a number for each budget.
+"""Operations on the amounts of all budgets, stored as one tuple with a number for each budget.
 
-Most amounts do not change from one request of a holder to its next. So tuples are compared in calls
-that run through them without a step of the interpreter for each budget, and only what differs is worked on.
+Most amounts do not change between two requests of a holder. Tuples are therefore compared with C-level
+iterators instead of a bytecode loop over the budgets, and only the differing budgets are processed.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 def changed_budgets(before: Amounts, after: Amounts) -> Iterable[int]:
-    """Return the numbers of the budgets whose amounts differ."""
+    """Return the indexes of the budgets whose amounts differ."""
     return compress(count(), map(ne, before, after))
 
 
 def exceeding_budgets(amounts: Amounts, limits: Amounts) -> Iterable[int]:
-    """Return the numbers of the budgets whose amounts are above the limits."""
+    """Return the indexes of the budgets whose amounts are above the limits."""
     return compress(count(), map(gt, amounts, limits))
 
 
 def replaced(amounts: Amounts, budgets: Iterable[int], by: Amounts) -> Amounts:
-    """Return the amounts, with those of some budgets taken from `by`."""
+    """Return the amounts, with those at the indexes in `budgets` taken from `by`."""
     result: list[int] | None = None
     for budget in budgets:
         result = result if result is not None else list(amounts)
--- a/lupintack/budgets/codec.py
+++ b/lupintack/budgets/codec.py
@@ -1,7 +1,7 @@
-"""Budget messages as datagrams: `B`, the version, the fleet's keyed code, MessagePack.
+"""Codec for budget messages in datagrams: `B`, the version, the fleet's authentication code, MessagePack.
 
-Version 1 is for budgets of one level, version 2, which names the level, for budgets of two. Datagrams that
-can't be read, or are of the other version, are dropped.
+Version 1 is for budgets with one level. Version 2 is for budgets with two levels and names the level.
+Unreadable datagrams and those of the other version are rejected.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 )
 
 MAGIC = b"B"
-ONE_LEVEL, TWO_LEVELS = 1, 2  # versions
+ONE_LEVEL, TWO_LEVELS = 1, 2  # protocol versions
 KINDS: tuple[type, ...] = (VoteRequest, VoteReply, VoteRelease, LeaseRequest, LeaseGrant, Redirect)
 TWO_LEVEL_KINDS = (*KINDS, SubLeaseGrant)
 MAX_AMOUNT = 1 << 60
-MAX_DATAGRAM_BYTES = 1_200  # fits into one packet on any usual link
+MAX_DATAGRAM_BYTES = 1_200  # fits into one packet at the usual MTU
 
 
 class Envelope(msgspec.Struct, array_like=True):
-    """A datagram of version 1: its sender, the address for answers, and a message by its kind."""
+    """A datagram of version 1: sender, reply address, and a message with the index of its type."""
 
     sender: str
     address: str
@@ -51,7 +51,7 @@
 
 
 class LevelEnvelope(msgspec.Struct, array_like=True):
-    """A datagram of version 2. `region`: the region whose level it concerns; empty: the fleet's level."""
+    """A datagram of version 2. `region`: name of the region for its level, empty for the fleet's level."""
 
     sender: str
     address: str
@@ -61,7 +61,7 @@
 
 
 class Datagram(NamedTuple):
-    """The contents of a datagram of version 2."""
+    """The decoded contents of a datagram of version 2."""
 
     sender: str
     address: str
@@ -70,10 +70,10 @@
 
 
 class BudgetCodec:
-    """Encodes and decodes the messages of a fleet whose budgets have one level."""
+    """Encodes and decodes the messages of budgets with one level."""
 
     def __init__(self, codec: MessageCodec, budgets: int) -> None:
-        """`codec`: keys the code of each message; `budgets`: the length of each row of amounts."""
+        """`codec`: computes authentication codes; `budgets`: the length of each row of amounts."""
         self.codec, self.budgets = codec, budgets
         self.encoder = msgspec.msgpack.Encoder()
         self.envelope_decoder = msgspec.msgpack.Decoder(Envelope)
@@ -86,8 +86,11 @@
         return b"%b%c%b%b" % (MAGIC, ONE_LEVEL, self.codec.authentication_code(MAGIC + body), body)
 
     def decode(self, raw: bytes) -> tuple[str, str, Message]:
-        """Return the sender, its address and the message; raises Bad for anything else."""
-        # The magic is under the code: a message of the membership can't be passed off as one of these.
+        """Return the sender, its address and the message.
+
+        Raise MessageError for any other data.
+        """
+        # The code covers the magic, so a membership message can't be replayed as a budget message.
         body = checked_body(self.codec, raw, ONE_LEVEL, MAGIC)
         try:
             envelope = self.envelope_decoder.decode(body)
@@ -99,13 +102,13 @@
 
 
 class TwoLevelCodec:
-    """Encodes and decodes the messages of a router of one region, at both levels."""
+    """Encodes and decodes the messages of a router at its region's level and the fleet's level."""
 
-    # Under the code with the magic: neither version's message can be passed off as one of the other.
+    # The code covers magic and version, so a message of one version can't be replayed as the other.
     PREFIX = MAGIC + bytes([TWO_LEVELS])
 
     def __init__(self, codec: MessageCodec, region: str, fleet_wide: int, budgets: int) -> None:
-        """`fleet_wide`: how many of the region's `budgets` are allocated at the fleet's level, too."""
+        """`fleet_wide`: the number of the region's `budgets` that the fleet's level also allocates."""
         self.codec = codec
         self.regions = {Level.FLEET: "", Level.REGION: region}
         self.levels = {text: level for level, text in self.regions.items()}
@@ -122,7 +125,10 @@
         return self.PREFIX + self.codec.authentication_code(self.PREFIX + body) + body
 
     def decode(self, raw: bytes) -> Datagram:
-        """Return a datagram's contents; raises Bad for any other, also for another region's level."""
+        """Return a datagram's contents.
+
+        Raise MessageError for any other data, including messages at another region's level.
+        """
         body = checked_body(self.codec, raw, TWO_LEVELS, self.PREFIX)
         try:
             envelope = self.envelope_decoder.decode(body)
@@ -137,7 +143,7 @@
 
 
 def checked_body(codec: MessageCodec, raw: bytes, version: int, prefix: bytes) -> bytes:
-    """Return the bytes after the header of a datagram; raises MessageError for another version or code."""
+    """Return the body of a datagram. Raise MessageError for a wrong header, version or code."""
     if len(raw) < HEADER_BYTES or raw[:1] != MAGIC:
         raise MessageError(DropReason.CUT if raw[:1] == MAGIC else DropReason.FOREIGN)
     if raw[1] != version:
@@ -150,7 +156,7 @@
 
 
 def decode_message(decoders: Sequence[Any], kind: int, body: msgspec.Raw) -> Message:
-    """Return a message by its kind; raises ValueError for an unknown kind or a body of another form."""
+    """Return the decoded message. Raise ValueError for an unknown kind or a malformed body."""
     if not 0 <= kind < len(decoders):
         raise ValueError
     message: Message = decoders[kind].decode(body)
@@ -158,7 +164,7 @@
 
 
 def check_message(message: Message, sender_and_address: tuple[str, ...], row_length: int) -> None:
-    """Raise Bad for texts and numbers out of bounds, and for rows of another length."""
+    """Raise MessageError for strings and numbers out of bounds, and for rows of a wrong length."""
     for text in sender_and_address:
         check_field(text)
     fields: tuple[Any, ...] = message
@@ -173,7 +179,7 @@
 
 
 def check_field(field: Any) -> None:
-    """Raise Bad for a text that is too long, and for a number out of bounds."""
+    """Raise MessageError for a string that is too long or a number out of bounds."""
     if isinstance(field, str):
         if len(field) > MAX_NAME_LENGTH:
             raise MessageError(DropReason.UNREADABLE)
@@ -182,15 +188,15 @@
 
 
 def check_row(row: tuple[int, ...], length: int) -> None:
-    """Raise Bad for a row out of bounds or of another length; an empty row is left to its receiver."""
+    """Raise MessageError for a row out of bounds or of a wrong length. The receiver checks empty rows."""
     if row and (len(row) != length or min(row) < 0 or max(row) > MAX_AMOUNT):
         raise MessageError(DropReason.UNREADABLE)
 
 
 def largest_datagram_bytes(amounts: Sequence[int], region: str = "") -> int:
-    """Return the most bytes that a message takes whose rows are at most `amounts`, with the longest names.
+    """Return the largest encoded size of a message with rows of at most `amounts` and the longest names.
 
-    A lease request is the largest: it has three rows. `region`: of a message of version 2.
+    A lease request is the largest message, as it has three rows. `region`: the region name in version 2.
     """
     name, number, row = "x" * MAX_NAME_LENGTH, (1 << 64) - 1, tuple(amounts)
     epoch = Epoch(number, name, number)
--- a/lupintack/budgets/demand_index.py
+++ b/lupintack/budgets/demand_index.py
@@ -1,4 +1,4 @@
-"""The demands of all holders for one budget, kept so that shares are found without going through them."""
+"""Index of all holders' demands for one budget: computes shares without iterating over the holders."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 
 class DemandIndex:
-    """Non-zero demands: ordered by amount, and counted by ranges of amounts.
+    """Non-zero demands: sorted by amount, and counted by ranges of amounts.
 
-    `counts[h][n]` and `sums[h][n]` are the number and the sum of the amounts from n * 2**h up to, but
-    without, (n + 1) * 2**h: a binary tree over amounts, of which only ranges that hold a demand are kept.
+    `counts[h][n]` and `sums[h][n]` are the number and the sum of the amounts in the half-open range from
+    n * 2**h to (n + 1) * 2**h. They form a binary tree over amounts that stores only non-empty ranges.
     """
 
     def __init__(self) -> None:
-        """Begin without demands."""
+        """Create an empty index."""
         self.total = 0
-        self.ordered: list[tuple[int, int]] = []  # an amount, and the position of its holder
+        self.ordered: list[tuple[int, int]] = []  # amount and position of the holder
         self.counts: list[dict[int, int]] = [{}]
         self.sums: list[dict[int, int]] = [{}]
 
     def add(self, amount: int, position: int) -> None:
-        """Add a demand, which is above zero."""
+        """Add a demand; `amount` must be above zero."""
         while amount >> len(self.counts):
-            # A new root: all that is known lies in its first half.
+            # Add a root; all existing demands are in its lower half.
             self.counts.append({0: len(self.ordered)} if self.ordered else {})
             self.sums.append({0: self.total} if self.ordered else {})
         insort(self.ordered, (amount, position))
@@ -45,11 +45,11 @@
                 del counts[node], sums[node]
 
     def water_level(self, available: int) -> tuple[int, int]:
-        """Return the highest level at which all parts min(amount, level) fit into `available`, and the rest.
+        """Return the highest level at which the sum of min(amount, level) fits in `available`, and the rest.
 
-        To be called only where the sum of demands is above `available`.
+        Must be called only if the sum of demands is above `available`.
         """
-        level, below, sum_below = 0, 0, 0  # `below` demands are under the level; their amounts' sum
+        level, below, sum_below = 0, 0, 0  # `below`: the number of demands below the level
         used = 0
         for height in range(len(self.counts) - 1, -1, -1):
             node = level >> height
@@ -62,13 +62,13 @@
         return level, available - used
 
     def rank_from_top(self, count: int, first_position: int) -> tuple[int, int]:
-        """Return amount and position of the lowest of the `count` largest demands.
+        """Return amount and position of the smallest of the `count` largest demands.
 
-        Of equal amounts, holders from `first_position` on come before those that are ahead of it.
+        Among equal amounts, positions from `first_position` on sort before the positions below it.
         """
         ordered = self.ordered
         amount = ordered[-count][0]
-        begin = bisect_left(ordered, (amount, -1))  # no position is below zero
+        begin = bisect_left(ordered, (amount, -1))  # positions are not negative
         end = bisect_left(ordered, (amount + 1, -1), lo=begin)
         size = end - begin
         rotated_offset = bisect_left(ordered, (amount, first_position), lo=begin, hi=end) - begin
@@ -76,7 +76,7 @@
         return ordered[begin + (rotated_offset + size - from_end) % size]
 
     def clone(self) -> DemandIndex:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         other = copy(self)
         other.ordered = self.ordered.copy()
         other.counts = [nodes.copy() for nodes in self.counts]
--- a/lupintack/budgets/election.py
+++ b/lupintack/budgets/election.py
@@ -1,4 +1,4 @@
-"""An epoch's election and its renewal: a term granted by a majority of the voters, round by round."""
+"""Election and renewal of an epoch: each round of votes with a majority grants or extends the term."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @dataclass(slots=True)
 class Round:
-    """One round: when its requests were sent, and which voters granted it."""
+    """One round: the time its requests were sent, and the voters that granted it."""
 
     sent_us: int
     granted_by: set[str] = field(default_factory=set)
 
 
 class Election:
-    """One epoch of one process, from its first round to its end."""
+    """Tracks one epoch of one process from its first round to its end."""
 
     def __init__(self, epoch: Epoch, voters: Sequence[str], terms: Terms) -> None:
-        """An election of `epoch` among `voters`; no round has been sent yet."""
+        """Create an election of `epoch` among `voters`, without any round."""
         self.epoch, self.voters, self.terms = epoch, frozenset(voters), terms
         self.round = 0
         self.rounds: dict[int, Round] = {}
-        self.until_us = 0  # end of the term; 0: no majority yet
+        self.until_us = 0  # end of the term; 0 before the first majority
 
     def start_round(self, now_us: int) -> VoteRequest:
-        """Begin the next round, and return the request to send to all voters.
+        """Start the next round and return the request to send to all voters.
 
-        Replies to the last few rounds still count, each for the term of its own round: where replies take
-        longer than the time between rounds, no round would ever be complete otherwise.
+        Replies to the last few rounds still count, each for the term of its own round. Otherwise no round
+        would ever be complete when replies take longer than the time between rounds.
         """
         self.round += 1
         self.rounds[self.round] = Round(now_us)
@@ -41,7 +41,7 @@
         return VoteRequest(self.epoch, self.round)
 
     def handle_reply(self, reply: VoteReply, now_us: int) -> bool:
-        """Return whether this reply makes or extends the term, which counts from the sending of its round."""
+        """Return whether this reply starts or extends the term, which is measured from its round's start."""
         vote_round = self.rounds.get(reply.round)
         if (
             reply.epoch != self.epoch
--- a/lupintack/budgets/hierarchy.py
+++ b/lupintack/budgets/hierarchy.py
@@ -1,8 +1,8 @@
-"""One process's part in budgets of two levels: the fleet's, and its region's.
+"""Budget protocol of one process at two levels, the fleet's and its region's.
 
-It always requests leases from its region's allocator. The process that is its region's allocator requests
-leases from the fleet's allocator for what it grants beyond the region's reservation. Either level elects its
-allocator among its own voters, by the same rules.
+Every process requests leases from its region's allocator. The region's allocator requests parent leases from
+the fleet's allocator for grants beyond the region's reservation. Each level elects its allocator among its
+own voters, by the same rules.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelPromise:
-    """A voter's promise at one level, to be stored before anything is sent."""
+    """A voter's promise at one level, to be stored before any message is sent."""
 
     level: Level
     promise: Promise
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelSend:
-    """A message to a process, at one level."""
+    """A message to send to a process, at one level."""
 
     to: str
     level: Level
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class LevelActions:
-    """The actions after a call, in this order: store the promises, then send."""
+    """The actions that follow a call, in this order: store the promises, then send the messages."""
 
     promises: list[LevelPromise] = field(default_factory=list)
     sends: list[LevelSend] = field(default_factory=list)
@@ -78,20 +78,20 @@
 
 
 class WaitingRequest(NamedTuple):
-    """A router's request that waits for the parent lease, and its sender."""
+    """A router's request that waits for the parent lease, with its sender."""
 
     sender: str
     request: LeaseRequest
 
 
 def tenure_number(epoch: Epoch) -> int:
-    """Return a number for one tenure of a regional allocator; no two tenures have the same epoch."""
+    """Return a number that identifies one tenure of a regional allocator, derived from its unique epoch."""
     text = f"{epoch.counter}\0{epoch.name}\0{epoch.start}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=7).digest(), "big")
 
 
 class TwoLevelNode:
-    """A holder in its region, and where it votes or is elected a part of the allocation at either level."""
+    """Holds a lease from its region, and votes and allocates at the levels where it is a voter."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         votes: bool = False,
         stored: Callable[[Level], Promise | None] = lambda level: None,
     ) -> None:
-        """`votes`, `stored`: as BudgetNode's, for each level that this name votes at."""
+        """`votes`, `stored`: as in BudgetNode, for each level at which this name is a voter."""
         self.name, self.plan, self.terms = name, plan, terms
         make_node = partial(BudgetNode, name, start, terms=terms, random=random, now_us=now_us, votes=votes)
         self.fleet = make_node(
@@ -116,15 +116,15 @@
             requests_leases=False,
             prepare=self._prepare_fleet,
         )
-        # Few requests go there, and a region waits for each answer: retries stay as frequent as requests.
+        # Requests at this level are few and a region waits for each reply, so retries don't back off further.
         self.fleet.max_retry_us = terms.request_interval_us
         self.region = make_node(
             plan.region.voters, plan.region_pool, stored=stored(Level.REGION), prepare=self._prepare_region
         )
-        self.tenure: Epoch | None = None  # of the region, while this process allocates there
+        self.tenure: Epoch | None = None  # the region's epoch while this process is its allocator
         self.parent = ParentLease(self.fleet.holder)
-        self.waiting_requests: list[WaitingRequest] = []  # until a parent lease comes
-        self.retried_grant = 0  # the grant with which the waiting requests were last handled
+        self.waiting_requests: list[WaitingRequest] = []  # until a parent lease is granted
+        self.retried_grant = 0  # sequence number of the grant after which waiting requests were last retried
 
     @property
     def wake_us(self) -> int:
@@ -133,7 +133,7 @@
 
     @property
     def holder(self) -> LeaseHolder:
-        """This process's own lease, from its region's allocator."""
+        """The lease of this process from its region's allocator."""
         return self.region.holder
 
     @property
@@ -142,7 +142,7 @@
         return self.region.has_lease
 
     def leased_amounts(self, now_us: int) -> tuple[int, ...]:
-        """Return the leased amounts of each budget of the plan; to be read at the spend itself."""
+        """Return the leased amounts of the plan's budgets; call this at the time of the spend."""
         return self.region.leased_amounts(now_us)
 
     def set_demand(self, demand: Sequence[int], in_use: Sequence[int] = ()) -> None:
@@ -150,12 +150,12 @@
         self.region.set_demand(demand, in_use)
 
     def become_voter(self, stored: Callable[[Level], Promise | None], now_us: int) -> None:
-        """Vote for this process's name from now on, at each level where the name is a voter."""
+        """Start voting under this process's name at each level where the name is a voter."""
         self.fleet.become_voter(stored(Level.FLEET), now_us)
         self.region.become_voter(stored(Level.REGION), now_us)
 
     def tick(self, now_us: int) -> LevelActions:
-        """Do the work that is due at either level."""
+        """Do the work that is due at both levels."""
         actions = LevelActions()
         self._call(actions, Level.REGION, self.region.tick, now_us)
         self._call(actions, Level.FLEET, self.fleet.tick, now_us)
@@ -166,8 +166,8 @@
         actions = LevelActions()
         node = self.fleet if level is Level.FLEET else self.region
         if level is Level.REGION and isinstance(message, LeaseRequest):
-            # By far the most messages, and none that changes who allocates: what it changes in the ledger is
-            # reported by the next call, before that asks the fleet's allocator for anything.
+            # Lease requests are by far the most frequent messages and never change the allocator. The next
+            # call reports their ledger changes before it sends a request to the fleet's allocator.
             self._connect_levels(now_us)
             actions.add(level, node.receive(sender, message, now_us))
             self._queue_if_unanswered(sender, message)
@@ -176,7 +176,7 @@
         return actions
 
     def leave(self, now_us: int) -> LevelActions:
-        """Shut down gracefully: release the own lease; a region's parent lease expires by itself."""
+        """Shut down gracefully: release this process's lease; a region's parent lease is left to expire."""
         actions = LevelActions()
         self._call(actions, Level.REGION, self.region.leave, now_us)
         self._call(actions, Level.FLEET, self.fleet.leave, now_us)
@@ -197,13 +197,13 @@
             self._retry_waiting_requests(actions, now_us)
 
     def _queue_if_unanswered(self, sender: str, request: LeaseRequest) -> None:
-        """Keep a request that waits for the parent lease: its sender would ask again only after a while."""
+        """Queue a request that waits for the parent lease, as its sender retries only after a delay."""
         allocator = self.region.allocator
         if allocator is not None and allocator.left_unanswered(request):
             self.waiting_requests.append(WaitingRequest(sender, request))
 
     def _retry_waiting_requests(self, actions: LevelActions, now_us: int) -> None:
-        """Handle the waiting requests again after the parent lease has changed; some may go on waiting."""
+        """Retry the waiting requests after a change of the parent lease; some may have to wait further."""
         waiting_requests, self.waiting_requests = self.waiting_requests, []
         self.retried_grant = self.parent.seen_grant
         for sender, request in waiting_requests:
@@ -213,7 +213,7 @@
                 self._queue_if_unanswered(sender, request)
 
     def _connect_levels(self, now_us: int) -> None:
-        """Hold a lease of the fleet's while this process allocates in its region, and grant by it."""
+        """Hold a parent lease while this process is its region's allocator, and set the pool from it."""
         allocator = self.region.allocator if self.region.is_allocator(now_us) else None
         tenure = allocator.epoch if allocator is not None else None
         if tenure != self.tenure:
@@ -231,10 +231,10 @@
             self._request_sooner(allocator, now_us)
 
     def _request_sooner(self, allocator: Allocator, now_us: int) -> None:
-        """Ask the fleet's allocator sooner where it books more or less for the region than it will have.
+        """Advance the next request to the fleet's allocator if its booking differs from the needs.
 
-        A new allocator of a region learns its routers' demand from request to request; and what routers have
-        given back after a smaller grant is idle until a request says so.
+        A new regional allocator learns its routers' demand with each of their requests. Units that routers
+        returned after a smaller grant stay idle until a request reports this.
         """
         holder = self.fleet.holder
         last = holder.last_request
@@ -247,13 +247,13 @@
             self.fleet.next_request_us = min(self.fleet.next_request_us, earliest_us)
 
     def _set_pool(self, allocator: Allocator, now_us: int) -> None:
-        """Set the amounts that the region's allocator may grant, and until when its leases may last.
+        """Set the amounts that the region's allocator may grant, and the latest end of its leases.
 
-        A lease that draws on the parent lease ends before it. One that need not is granted only where all
-        that is booked fits into the reservation, so what outlives the parent lease is covered without it.
+        A lease that draws on the parent lease ends before the parent lease. A longer one is granted only if
+        all bookings fit into the reservation, so leases that outlive the parent lease are covered without it.
         """
         parent_ends_us = self.parent.ends_us(now_us)
-        # Near its end each router requests once more, and gets a lease that does not end with it.
+        # Near the parent lease's end, each router renews once more and gets a lease independent of it.
         usable = (
             parent_ends_us is not None and parent_ends_us - now_us > self.terms.request_interval_us * 5 // 4
         )
@@ -265,15 +265,15 @@
         )
 
     def _with_reserved(self, leased: tuple[int, ...], counts_reservation: bool) -> tuple[int, ...]:
-        """Return leased amounts plus the reservation where it counts, and all of the region's own budgets."""
+        """Return the leased amounts, plus the reservation if it counts, and the region's own budgets."""
         pool, fleet_wide = self.plan.region_pool, self.plan.fleet_wide
         reserved = pool[:fleet_wide] if counts_reservation else (0,) * fleet_wide
         return (*map(sum, zip(leased, reserved, strict=True)), *pool[fleet_wide:])
 
     def _report_to_fleet(self, allocator: Allocator, now_us: int) -> None:
-        """Set what the next request to the fleet's allocator reports: demand, and amounts behind live leases.
+        """Set the demand and the amounts in use for the next request to the fleet's allocator.
 
-        Until an older tenure's leases are over, the reservation may be in use by these.
+        Until the leases of older tenures have expired, these may still use the reservation.
         """
         pool = self.plan.region_pool[: self.plan.fleet_wide]
         usable_reservation = pool if now_us >= allocator.ready_us else (0,) * len(pool)
@@ -282,10 +282,10 @@
         self.fleet.set_demand(tuple(demand), tuple(in_use))
 
     def _prepare_region(self, allocator: Allocator) -> None:
-        """Set up a new allocator: no parent lease yet, and the reservation may be in use."""
+        """Set up a new regional allocator: it has no parent lease, and the reservation may be in use."""
         zero = self.fleet.holder.zero
         allocator.set_allocatable(self._with_reserved(zero, True), self._with_reserved(zero, False))
 
     def _prepare_fleet(self, allocator: Allocator) -> None:
-        """Set up a new allocator: successive allocators of a region share one booking."""
+        """Set up a new fleet allocator: successive allocators of a region share one booking."""
         allocator.shared_names = frozenset(name for name, _ in self.plan.weights)
--- a/lupintack/budgets/invariant.py
+++ b/lupintack/budgets/invariant.py
@@ -1,6 +1,6 @@
-"""The invariant of docs/budgets.md, as one function over all states of one level or of two.
+"""The invariant of docs/budgets.md, checked by one function for budgets with one or two levels.
 
-The lab, the model check and the tests describe the live leases in these records and call `violations`.
+The lab, the model check and the tests record the live leases as a `BudgetState` and call `violations`.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
     """The amounts that a region may lease to its routers without a parent lease."""
 
     region: str
-    reserve: tuple[int, ...]  # of each fleet-wide budget
-    own: tuple[int, ...] = ()  # of each budget of the region's own sites
+    reserve: tuple[int, ...]  # for each fleet-wide budget
+    own: tuple[int, ...] = ()  # for each budget of the region's own sites
 
 
 class RegionAmounts(NamedTuple):
-    """Amounts of budgets, fleet-wide ones first, that concern a region: a router's lease, or a booking."""
+    """Amounts in a region, fleet-wide budgets first: a router's lease, a parent lease or a booking."""
 
     region: str
     amounts: tuple[int, ...]
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetState:
-    """All live leases at one instant of true time, at either level.
+    """All live leases at one instant of true time, at both levels.
 
-    `leases`: one for each live router, also a paused one. `parent_leases`: the amounts that each process
-    that acts for a region has of the fleet's allocator. `bookings`: the ledger of the fleet's allocator; None
-    where there is no such allocator whose wait for older tenures is over.
+    `leases`: one for each live router, including paused ones. `parent_leases`: the amounts that each process
+    acting for a region has been granted by the fleet's allocator. `bookings`: the ledger of the fleet's
+    allocator; None if there is no such allocator that has waited for older tenures to expire.
     """
 
     fleet_allocatable: tuple[int, ...]
@@ -45,7 +45,7 @@
 
 
 class Violation(NamedTuple):
-    """A sum above its bound, of a budget by its index in the region's or the fleet's list."""
+    """A sum above its bound; `budget` is an index into the region's or the fleet's list of budgets."""
 
     scope: str  # FLEET, or the region's name
     rule: str
@@ -59,13 +59,13 @@
 
 
 def single_level(totals: tuple[int, ...], leases: Sequence[tuple[int, ...]]) -> BudgetState:
-    """Return the state of a fleet without regions: one region that has no reserve."""
+    """Return the state of a fleet without regions, as one region without a reserve."""
     bounds = RegionBounds(FLEET, (0,) * len(totals))
     return BudgetState(totals, (bounds,), [RegionAmounts(FLEET, amounts) for amounts in leases])
 
 
 def violations(state: BudgetState) -> list[Violation]:
-    """Return each bound that is exceeded; none while the invariant holds."""
+    """Return each bound that is exceeded; empty while the invariant holds."""
     leased = _leased_by_region(state)
     result = _fleet_violations(state, leased)
     if state.parent_leases:
@@ -95,7 +95,7 @@
 
 
 def _fleet_violations(state: BudgetState, leased: dict[str, list[int]]) -> list[Violation]:
-    """Check that the live leases of routers sum to at most the total without the reservations of names."""
+    """Check that the routers' leases sum to at most the total minus the reservations of names."""
     sums = list(map(sum, zip(*(row[: len(state.fleet_allocatable)] for row in leased.values()), strict=True)))
     reserves = zip(*(bounds.reserve for bounds in state.regions), strict=True)
     bounds = [total + sum(row) for total, row in zip(state.fleet_allocatable, reserves, strict=True)]
@@ -103,7 +103,7 @@
 
 
 def largest_by_region(rows: Sequence[RegionAmounts]) -> dict[str, tuple[int, ...]]:
-    """Return the largest amounts of each region: its successive allocators share one booking."""
+    """Return the largest amounts of each region, as its successive allocators share one booking."""
     result: dict[str, tuple[int, ...]] = {}
     for region, amounts in rows:
         result[region] = tuple(map(max, result.get(region, amounts), amounts))
@@ -118,7 +118,7 @@
 
 
 def _region_violations(state: BudgetState, bounds: RegionBounds, leased: list[int]) -> list[Violation]:
-    """Check a region's own budgets, and that its leases beyond its reserve are booked at the fleet."""
+    """Check a region's own budgets, and that the fleet has booked its leases above its reserve."""
     fleet_wide = len(bounds.reserve)
     result = _exceeded_bounds(bounds.region, "leases of its own", leased[fleet_wide:], bounds.own, fleet_wide)
     if state.bookings is not None:
--- a/lupintack/budgets/lease.py
+++ b/lupintack/budgets/lease.py
@@ -1,4 +1,4 @@
-"""A holder's side of a lease: amounts of budgets, until a moment on its own clock."""
+"""The holder's side of a lease: amounts of budgets that are valid until a time on its own clock."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class LeaseHolder:
-    """The lease of one process. A new process has none; what the process before had expires by itself."""
+    """The lease of one process. A new process starts without one; its predecessor's lease expires."""
 
     def __init__(self, name: str, start: int, budget_count: int, terms: Terms) -> None:
-        """A holder of `budgets` amounts, all of them 0."""
+        """Create a holder of `budget_count` amounts, all 0."""
         self.name, self.start, self.terms = name, start, terms
         self.zero = (0,) * budget_count
         self.amounts = self.zero
         self.until_us = 0
         self.sequence = 0
         self.requested_us = 0
-        self.epoch: Epoch | None = None  # of the request that is out
+        self.epoch: Epoch | None = None  # of the pending or last request
         self.is_answered = True
         self.last_request: LeaseRequest | None = None
 
     def leased_amounts(self, now_us: int) -> tuple[int, ...]:
-        """Return what may be spent now; to be read at the spend itself."""
+        """Return the amounts that may be spent now; call this at the time of the spend."""
         return self.amounts if now_us < self.until_us else self.zero
 
     def request(
@@ -33,7 +33,7 @@
         leaving: bool = False,
         in_use: tuple[int, ...] = (),
     ) -> LeaseRequest:
-        """Return the next request. It voids all earlier ones, answered or not."""
+        """Return the next request. It invalidates all earlier requests, answered or not."""
         if leaving:
             self.amounts, self.until_us = self.zero, 0
         self.sequence += 1
@@ -44,9 +44,9 @@
         return self.last_request
 
     def accept(self, grant: LeaseGrant | SubLeaseGrant, now_us: int) -> bool:
-        """Accept a grant to the last request, and return whether it is valid now.
+        """Accept a grant for the last request, and return whether the lease is valid now.
 
-        Its time counts from that request, which was sent before the lease was granted.
+        The lease's time is measured from the request, which was sent before the lease was granted.
         """
         if (grant.name, grant.start, grant.sequence) != (self.name, self.start, self.sequence):
             return False
--- a/lupintack/budgets/ledger.py
+++ b/lupintack/budgets/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of an allocator: what each holder may have, with running sums and a queue of expiries."""
+"""The ledger of an allocator: the amounts booked for each holder, running sums and an expiry queue."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """One holder: what it may have, and until when by the allocator's clock."""
+    """The booking of one holder: amounts, and their expiry on the allocator's clock."""
 
     sequence: int
     demand: Amounts
-    amounts: Amounts  # the most that it may have of any grant
+    amounts: Amounts  # upper bound on the amounts it may have from any grant
     until_us: int
     granted: Amounts  # by the last grant
     granted_until_us: int = 0
@@ -27,21 +27,21 @@
 
 
 class Ledger(Mapping[HolderKey, LedgerEntry]):
-    """The entries in the order in which their holders came.
+    """The entries of all holders, in the order in which the holders were added.
 
-    Amounts change by `set_entry` and `del` alone, which keep the sums; neither goes through all entries. Of
-    the holders of a shared name the largest amounts count in the sums.
+    Amounts change only through `set_entry` and `del`, which update the sums without iterating over all
+    entries. For the holders of a shared name, only the largest amounts count in the sums.
     """
 
     def __init__(self, limits: Amounts) -> None:
-        """Begin without entries; `limits`: the most that the sums may come to by a grant."""
+        """Create an empty ledger; `limits`: the sums up to which grants may book."""
         self.entries: dict[HolderKey, LedgerEntry] = {}
         self.limits = limits
         self.zero = (0,) * len(limits)
         self.sums = [0] * len(limits)
         self.overbooked: set[int] = set()  # the budgets whose sum is above the limit
-        # An item for each holder, of when to look at its entry. Where a lease came to end sooner there are
-        # two: `queued` has the time of the one that counts.
+        # One item for each holder: the time at which to check its entry. If a lease was changed to end
+        # sooner, there are two items, and `queued` has the time of the current one.
         self.expiry_queue: list[tuple[int, HolderKey]] = []
         self.queued: dict[HolderKey, int] = {}
         self.shared_names: frozenset[str] = frozenset()
@@ -52,7 +52,7 @@
         return self.entries[key]
 
     def __iter__(self) -> Iterator[HolderKey]:
-        """Go through the holders in the order in which they came."""
+        """Iterate over the holders in the order in which they were added."""
         return iter(self.entries)
 
     def __len__(self) -> int:
@@ -60,7 +60,7 @@
         return len(self.entries)
 
     def __delitem__(self, key: HolderKey) -> None:
-        """Remove an entry, and its amounts from the sums."""
+        """Remove an entry and subtract its amounts from the sums."""
         before = self.booking(key)
         del self.entries[key]
         self.queued.pop(key, None)
@@ -71,13 +71,13 @@
         self._adjust_sums(before, self.booking(key))
 
     def set_limits(self, limits: Amounts) -> None:
-        """Set the most that the sums may come to by a grant. Sums that are above that stay as they are."""
+        """Set the sums up to which grants may book. Sums already above the limits don't change."""
         if limits != self.limits:
             self.limits = limits
             self.overbooked = {n for n, (a, b) in enumerate(zip(self.sums, limits, strict=True)) if a > b}
 
     def set_shared_names(self, names: frozenset[str]) -> None:
-        """Count successive holders of one of these names as one booking from now on."""
+        """Count successive holders of each of these names as one booking."""
         entries, self.entries = self.entries, {}
         self.sums, self.overbooked = [0] * len(self.zero), set()
         self.shared_names, self.shared_entries = names, {}
@@ -91,13 +91,13 @@
         if key[0] in self.shared_names:
             self.shared_entries.setdefault(key[0], {})[key] = entry
         self._adjust_sums(before, self.booking(key))
-        # A later time needs no new item: the queued one finds it.
+        # A later expiry needs no new item: `expire` requeues the entry when the queued item is due.
         queued_us = self.queued.get(key)
         if queued_us is None or entry.until_us < queued_us:
             self._enqueue(key, entry.until_us)
 
     def booking(self, key: HolderKey) -> Amounts:
-        """Return what counts in the sums for this holder, or for its name where that is shared."""
+        """Return the amounts counted in the sums for this holder, or for its name if that is shared."""
         if key[0] in self.shared_names:
             entries = self.shared_entries.get(key[0], {}).values()
             return reduce(largest, [entry.amounts for entry in entries], self.zero)
@@ -105,15 +105,15 @@
         return entry.amounts if entry is not None else self.zero
 
     def available_to(self, key: HolderKey) -> Amounts:
-        """Return what nobody but this holder, and others that share its name, may have."""
+        """Return the amounts not booked for holders other than this one and those sharing its name."""
         own = self.booking(key)
         return tuple([a - s + o for a, s, o in zip(self.limits, self.sums, own, strict=True)])
 
     def limited_to_available(self, key: HolderKey, amounts: Amounts) -> Amounts:
-        """Return the amounts, each at most what is available to the holder."""
+        """Return the amounts, each limited to the amount available to the holder."""
         own = self.booking(key)
         result: list[int] | None = None
-        # Where a sum keeps its limit, a holder can be given what is booked for it already.
+        # If a sum is within its limit, the amounts already booked for the holder are always available to it.
         for budget in {*self.overbooked, *exceeding_budgets(amounts, own)}:
             available = max(0, self.limits[budget] - self.sums[budget] + own[budget])
             if amounts[budget] > available:
@@ -122,12 +122,12 @@
         return tuple(result) if result is not None else amounts
 
     def expire(self, now_us: int) -> list[HolderKey]:
-        """Remove the entries that are over, and return their keys."""
+        """Remove the expired entries and return their keys."""
         expired: list[HolderKey] = []
         while self.expiry_queue and self.expiry_queue[0][0] <= now_us:
             queued_us, key = heappop(self.expiry_queue)
             if self.queued.get(key) != queued_us:
-                continue  # another item of this key counts, or its entry has gone
+                continue  # replaced by another item, or the entry was removed
             until_us = self.entries[key].until_us
             if now_us < until_us:
                 self._enqueue(key, until_us)
@@ -137,7 +137,7 @@
         return expired
 
     def clone(self) -> Ledger:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         other = copy(self)
         other.entries = {key: copy(entry) for key, entry in self.entries.items()}
         other.shared_entries = {
--- a/lupintack/budgets/messages.py
+++ b/lupintack/budgets/messages.py
@@ -1,4 +1,4 @@
-"""Messages between processes about budgets. Rows hold an amount for each budget, in the budget's unit."""
+"""Budget messages between processes. Rows hold an amount for each budget, in the budget's unit."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Epoch(NamedTuple):
-    """One tenure of one process: it never uses a counter twice, so no two tenures have one epoch."""
+    """Identifies one tenure of one process. A process never reuses a counter, so epochs are unique."""
 
     counter: int
     name: str
@@ -14,7 +14,7 @@
 
 
 class VoteRequest(NamedTuple):
-    """A request to a voter to elect an epoch, or to renew its term."""
+    """A request to a voter to elect an epoch or renew its term."""
 
     epoch: Epoch
     round: int
@@ -31,7 +31,7 @@
 
 
 class VoteRelease(NamedTuple):
-    """A notice that the epoch's process no longer relies on the voter's promise."""
+    """A notification that the epoch's process no longer relies on the voter's promise."""
 
     epoch: Epoch
 
@@ -39,16 +39,16 @@
 class LeaseRequest(NamedTuple):
     """A holder's request for a lease.
 
-    Once it is sent, no grant to an earlier sequence number is accepted: so `leased_amounts` is the most that
-    this holder has of earlier grants, from now on. `in_use`: things at once that it began and that have not
-    ended, also such as its lease would not let it begin any more: they are kept for it, and not granted
-    to others.
+    After sending it, the holder accepts no grant for an earlier sequence number, so `leased_amounts` is an
+    upper bound on the amounts it has from earlier grants. `in_use`: units of concurrent budgets that it has
+    not released yet, including those above its present lease; they stay booked for it and are not granted to
+    other holders.
     """
 
     name: str
     start: int
     sequence: int
-    epoch: Epoch | None  # of the allocator that it is sent to; None: not known yet
+    epoch: Epoch | None  # of the allocator addressed; None if unknown
     demand: tuple[int, ...]
     leased_amounts: tuple[int, ...]
     leaving: bool = False
@@ -56,7 +56,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """The amounts that a holder may spend, from its request on."""
+    """The amounts that a holder may spend, starting from its request."""
 
     epoch: Epoch
     name: str
@@ -66,9 +66,10 @@
 
 
 class SubLeaseGrant(NamedTuple):
-    """The amounts that a holder may spend of a lease that its allocator has itself.
+    """The amounts that a holder may spend, granted from a parent lease of its allocator.
 
-    `lease_us`: how long the allocator books it, on the allocator's clock; the holder counts less than that.
+    `lease_us`: the time for which the allocator books the lease, on the allocator's clock; the holder uses it
+    for a shorter time.
     """
 
     epoch: Epoch
@@ -80,7 +81,7 @@
 
 
 class Redirect(NamedTuple):
-    """The allocator's epoch as far as the receiver of a request knows it; None where it knows of none."""
+    """The allocator's epoch as known to the receiver of a request; None if unknown."""
 
     epoch: Epoch | None
 
--- a/lupintack/budgets/node.py
+++ b/lupintack/budgets/node.py
@@ -1,7 +1,7 @@
-"""One process's part in the budgets: always a lease holder, where configured a voter, at times the allocator.
+"""Budget protocol of one process: always a lease holder, a voter if configured, the allocator if elected.
 
-A call takes the time and a message or a tick, and returns messages, a promise to store and events. The node
-knows the others only as voters and does not depend on the membership.
+Each call takes the current time, and a message or a tick, and returns messages to send, a promise to store
+and events. The node depends only on the configured voters, not on the membership.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
 
 NEVER_US = 1 << 62
-MAX_DOUBLINGS = 4  # doublings of a round's time, and of the wait before the next
+MAX_DOUBLINGS = 4  # limit for the backoff of the round timeout and of the candidacy delay
 
 
 @dataclass(slots=True)
 class Actions:
-    """The actions after a call, in this order: store the promise, then send."""
+    """The actions that follow a call, in this order: store the promise, then send the messages."""
 
     promise: Promise | None = None
     sends: list[tuple[str, Message]] = field(default_factory=list)
-    events: list[tuple[str, str]] = field(default_factory=list)  # the event, and the epoch or reason
+    events: list[tuple[str, str]] = field(default_factory=list)  # event name, and the epoch or ""
 
 
 class BudgetNode:
-    """One process's part in the budgets of one level."""
+    """Holds a lease, votes and allocates for one process at one level."""
 
     def __init__(
         self,
@@ -62,8 +62,9 @@
         requests_leases: bool = True,
         prepare: Callable[[Allocator], None] = lambda allocator: None,
     ) -> None:
-        """`allocatable`: of each budget the total less its reservations; `stored`: see Voter;
-        `requests_leases`: from the start; `prepare`: sets up the allocator of an epoch that was just won.
+        """`allocatable`: for each budget, the total minus its reservations; `stored`: see Voter;
+        `requests_leases`: whether to request leases from the start; `prepare`: called with the new allocator
+        after an election is won.
         """
         self.name, self.start, self.terms, self.random = name, start, terms, random
         self.voters = tuple(sorted(set(voters)))
@@ -81,11 +82,11 @@
         self.allocator: Allocator | None = None
         self.epoch_counter = 0
         self.next_renewal_us = 0
-        self.failed_rounds = 0  # rounds in vain since one was won, or a part was given
+        self.failed_rounds = 0  # failed rounds since the last election that was won
         self.next_candidacy_us = now_us + self._jittered_us(terms.candidacy_delay_us)
         self.leader: Epoch | None = None
         self.unanswered_requests = 0
-        self.voided_requests = 0  # replaced by the next one before an answer, less those answered since
+        self.voided_requests = 0  # requests replaced before their answer, minus grants accepted since
         self.next_request_us = now_us if requests_leases else NEVER_US
         self.max_retry_us = terms.lease_us // 2
         self.next_redirect_us = 0
@@ -126,7 +127,7 @@
         return self._take_actions()
 
     def become_voter(self, stored: Promise | None, now_us: int) -> None:
-        """Vote for this process's name from now on, if it is a voter; one process of a name does at most."""
+        """Start voting if this process's name is a voter; at most one process of a name may vote."""
         if self.voter is None and self.name in self.voters:
             self.voter = Voter(self.name, self.terms, stored, now_us)
 
@@ -138,19 +139,19 @@
             self.next_candidacy_us = now_us + self._jittered_us(self.terms.candidacy_delay_us)
 
     def start_holding(self, name: str, start: int, now_us: int) -> None:
-        """Request leases from now on, as this holder, which has none yet."""
+        """Start requesting leases as a new holder of this name and start."""
         self.requests_leases, self.unanswered_requests, self.has_lease = True, 0, False
         self.holder = LeaseHolder(name, start, len(self.allocatable), self.terms)
         self.next_request_us = now_us
 
     def stop_holding(self) -> None:
-        """Request no more leases; the last one stays booked until it expires, and is not released."""
+        """Stop requesting leases; the last lease is not released and stays booked until it expires."""
         self.requests_leases, self.has_lease = False, False
         self.holder.amounts, self.holder.until_us = self.holder.zero, 0
         self.next_request_us = NEVER_US
 
     def leased_amounts(self, now_us: int) -> tuple[int, ...]:
-        """Return the leased amounts; to be read at the spend itself."""
+        """Return the leased amounts; call this at the time of the spend."""
         return self.holder.leased_amounts(now_us)
 
     def leave(self, now_us: int) -> Actions:
@@ -171,7 +172,7 @@
         return delay_us + int(2 * delay_us * self.random.random())
 
     def is_allocator(self, now_us: int) -> bool:
-        """Return whether this process allocates now."""
+        """Return whether this process is the allocator now."""
         return self.allocator is not None and self.election is not None and self.election.is_valid(now_us)
 
     def _renew_or_campaign(self, voter: Voter, now_us: int) -> None:
@@ -202,7 +203,7 @@
         if self.allocator is not None:
             self.next_renewal_us = now_us + self.terms.renew_interval_us
         else:
-            # Replies that take longer than a round would come to rounds that are over.
+            # A longer timeout keeps slow replies from arriving after their round has ended.
             max_wait_us = self.terms.promise_us * 2 // 3
             self.next_renewal_us = now_us + min(
                 self.terms.round_timeout_us << min(self.failed_rounds, MAX_DOUBLINGS), max_wait_us
@@ -228,7 +229,7 @@
             self.next_request_us = now_us if self.requests_leases else NEVER_US
 
     def _resign(self, now_us: int) -> None:
-        """End this epoch for good, and release the voters' promises to it."""
+        """End this epoch and release the voters' promises to it."""
         if self.election is None:
             return
         release = VoteRelease(self.election.epoch)
@@ -236,7 +237,7 @@
         self.actions.sends += [(name, release) for name in self.voters if name != self.name]
         if self.voter is not None:
             self.voter.handle_release(release, now_us)
-        # The growing delay separates voters that stand at the same time again and again.
+        # The growing delay separates voters that repeatedly become candidates at the same time.
         self.next_candidacy_us = now_us + self._jittered_us(
             self.terms.candidacy_delay_us << min(self.failed_rounds, MAX_DOUBLINGS)
         )
@@ -244,7 +245,7 @@
     # Requesting leases
 
     def _request_lease(self, now_us: int) -> None:
-        """Request a lease from the allocator where it is known, else from any voter, which redirects."""
+        """Request a lease from the allocator if known, otherwise from a random voter, which redirects."""
         if self.unanswered_requests >= 2 and self.leader is not None:
             self.leader = None
         self.voided_requests += self.unanswered_requests > 0
@@ -285,7 +286,7 @@
         if self.voter is None:
             return
         self.voter.handle_release(message, now_us)
-        if not self.failed_rounds:  # else all failed candidates would stand together again
+        if not self.failed_rounds:  # otherwise all failed candidates would retry at the same time
             delay_us = self._jittered_us(self.terms.candidacy_delay_us // 4)
             self.next_candidacy_us = min(self.next_candidacy_us, now_us + delay_us)
 
@@ -301,7 +302,7 @@
     def _handle_redirect(self, message: Redirect, now_us: int) -> None:
         if message.epoch is None or message.epoch == self.leader or now_us < self.next_redirect_us:
             return
-        # Two processes that redirect to one another must not loop: one redirect in a while.
+        # Follow at most one redirect per interval: two processes may redirect to each other.
         self.leader, self.unanswered_requests = message.epoch, 0
         self.next_request_us, self.next_redirect_us = now_us, now_us + self.terms.retry_us // 2
         self._request_lease(now_us)
--- a/lupintack/budgets/parent_lease.py
+++ b/lupintack/budgets/parent_lease.py
@@ -1,4 +1,4 @@
-"""A regional allocator's lease from the fleet's allocator, and how much of it is surely booked there now."""
+"""A regional allocator's lease from the fleet's allocator, and the amounts certainly booked there now."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class ParentLease:
-    """The most that the leases to a region's routers may come to, beyond the region's reservation.
+    """Computes the limit for the leases to a region's routers in addition to the region's reservation.
 
-    The fleet's allocator books for a region at least the last grant, and what the last request reported as in
-    use. A grant may be smaller than the one before, while the routers still have leases from that; so the
-    report of a request covers these until they end, and the coverage never grows by a report alone.
+    The fleet's allocator books for a region at least the last grant and the amounts that the last request
+    reported as in use. A grant may be smaller than the previous one while routers still have leases from that
+    one. The reported amounts cover these leases until they end; a report alone never increases the coverage.
     """
 
     def __init__(self, holder: LeaseHolder) -> None:
-        """`holder`: this tenure's lease from the fleet's allocator; it has none yet."""
+        """`holder`: a new holder, used for this tenure's lease from the fleet's allocator."""
         self.holder = holder
         self.covered = holder.zero
         self.seen_request = 0
         self.seen_grant = 0
 
     def update(self, now_us: int) -> None:
-        """Update the coverage by what the holder has sent and accepted since the last call."""
+        """Update the coverage from the requests sent and grants accepted since the last call."""
         request = self.holder.last_request
         if request is not None and request.sequence != self.seen_request:
             self.seen_request = request.sequence
@@ -35,5 +35,5 @@
             self.covered = self.holder.zero
 
     def ends_us(self, now_us: int) -> int | None:
-        """Return when it ends on this clock; None where it has ended."""
+        """Return the end of the lease on this clock, or None if it has expired."""
         return self.holder.until_us if now_us < self.holder.until_us else None
--- a/lupintack/budgets/regions.py
+++ b/lupintack/budgets/regions.py
@@ -1,8 +1,8 @@
 """Split of a fleet's budgets among its regions: voters, reservations and allocations.
 
-With regions there are two levels. The fleet's allocator leases fleet-wide budgets to one allocator a region,
-which leases to its routers from that and from the region's reservation alone. A budget of one site is
-allocated in the site's own region and is never seen elsewhere.
+With regions there are two levels. The fleet's allocator leases fleet-wide budgets to one allocator per
+region, which leases to its routers only from that and from the region's reservation. The budget of a site is
+allocated only in the site's own region.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RegionError(ValueError):
-    """The regions can't be used as they are configured; the text says why."""
+    """The configuration of the regions is invalid; the message states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionPlan:
-    """The plan of one region's routers: fleet-wide budgets first, then those of the region's own sites."""
+    """The budgets of one region's routers: fleet-wide budgets first, then those of the region's sites."""
 
     region: Region
-    weights: tuple[tuple[str, int], ...]  # of each region at the fleet's allocator
+    weights: tuple[tuple[str, int], ...]  # weight of each region at the fleet's allocator
     budgets: tuple[Budget, ...]
-    fleet_wide: int  # how many of `budgets` are allocated by the fleet
-    fleet_allocatable: tuple[int, ...]  # of fleet-wide budgets: the total less the regions' reservations
-    region_pool: tuple[int, ...]  # of all `budgets`: what the region may allocate without a parent lease
-    name_reservations: tuple[int, ...]  # of all `budgets`: for each voter of the region, allocated or not
+    fleet_wide: int  # the number of `budgets` that the fleet's allocator allocates
+    fleet_allocatable: tuple[int, ...]  # for fleet-wide budgets: the total minus the regions' reservations
+    region_pool: tuple[int, ...]  # for all `budgets`: allocatable without a parent lease
+    name_reservations: tuple[int, ...]  # for all `budgets`: reservation of each voter of the region
 
     def weight_of(self, region: str) -> int:
         """Return the weight of a region at the fleet's allocator."""
@@ -45,16 +45,16 @@
 
 
 def region_of_site(regions: Sequence[Region], site: str) -> Region:
-    """Return the region of a site; raises RegionError where there is none, or more than one."""
+    """Return the region of a site. Raise RegionError if there is none or more than one."""
     matches = [region for region in regions if site in region.sites]
     if len(matches) != 1:
-        raise RegionError(f"site {site!r} stands in {len(matches)} regions, where one is wanted")
+        raise RegionError(f"site {site!r} is in {len(matches)} regions, but must be in exactly one")
     return matches[0]
 
 
 def plan_region(budgets: Sequence[Budget], regions: Sequence[Region], region: Region) -> RegionPlan:
-    """Return a region's plan: `BUDGET.SITE` with a SITE of some region belongs to that region alone."""
-    owners = {site: owner.name for owner in regions for site in owner.sites}
+    """Return a region's plan: a budget `BUDGET.SITE` belongs only to the region of SITE, if there is one."""
+    owners = {site: other.name for other in regions for site in other.sites}
     fleet_wide = [budget for budget in budgets if site_of(budget.name) not in owners]
     region_budgets = [budget for budget in budgets if owners.get(site_of(budget.name)) == region.name]
     region_names = [other.name for other in regions]
--- a/lupintack/budgets/share_table.py
+++ b/lupintack/budgets/share_table.py
@@ -1,6 +1,6 @@
-"""Shares of an allocator's holders, by the demands of all of them.
+"""Computation of the shares of an allocator's holders from all holders' demands.
 
-Demands may change at any time. Targets are those of the last snapshot, until the next one is taken.
+Demands may change at any time. The targets change only when the next snapshot is taken.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 from lupintack.budgets.ledger import HolderKey
 from lupintack.budgets.shares import Demand, max_min_fair
 
-WRAP_OFFSET = 1 << 62  # above all positions: added to those that come last after a rotation
+WRAP_OFFSET = 1 << 62  # above all positions; added to those that a rotation moves to the end
 
 
 class ShareTable(Protocol):
-    """Shares of whole units, as `max_min_fair` divides them."""
+    """Divides whole units among holders, with the results of `max_min_fair`."""
 
     def update(self, key: HolderKey, demand: Amounts, weight: int) -> None:
-        """Set a holder's demand; a new holder comes last in the order."""
+        """Set a holder's demand; a new holder is added at the end of the order."""
 
     def remove(self, key: HolderKey) -> None:
-        """Forget a holder, if it is known."""
+        """Remove a holder if present."""
 
     def set_totals(self, totals: Amounts) -> None:
-        """Set the units to divide of each budget."""
+        """Set the units of each budget to divide."""
 
     def take_snapshot(self, rotation: int) -> None:
         """Compute the targets from the present demands.
 
-        Units of a budget that has fewer units than holders rotate with `turn`.
+        The units of a budget with fewer units than holders rotate among them with `rotation`.
         """
 
     def target(self, key: HolderKey) -> Amounts:
-        """Return a holder's shares by the last snapshot; zeros if the holder came after it."""
+        """Return a holder's shares from the last snapshot; zeros if it was added later."""
 
     def total_demand(self) -> Amounts:
         """Return the sum of all holders' present demands."""
 
     def clone(self) -> ShareTable:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
 
 
 class WeightedShareTable:
-    """Shares by weight, of few holders: a snapshot goes through all of them."""
+    """Divides units by weight among few holders: a snapshot iterates over all of them."""
 
     def __init__(self, totals: Amounts) -> None:
-        """Begin without holders."""
+        """Create a table without holders."""
         self.totals = totals
         self.demands: dict[HolderKey, tuple[Amounts, int]] = {}
         self.targets: dict[HolderKey, Amounts] = {}
@@ -60,11 +60,11 @@
         self.demands[key] = (demand, weight)
 
     def remove(self, key: HolderKey) -> None:
-        """Forget a holder."""
+        """Remove a holder."""
         self.demands.pop(key, None)
 
     def set_totals(self, totals: Amounts) -> None:
-        """Set the units to divide of each budget."""
+        """Set the units of each budget to divide."""
         self.totals = totals
 
     def take_snapshot(self, rotation: int) -> None:
@@ -72,12 +72,12 @@
         shares = []
         for budget, total in enumerate(self.totals):
             demands = [Demand(key, demand[budget], weight) for key, (demand, weight) in self.demands.items()]
-            # Units rotate only where some holder has none: each move leaves them idle for a request or two.
+            # Rotate only if units are fewer than holders: each move leaves them idle for one or two requests.
             shares.append(max_min_fair(total, demands, rotation if total < len(demands) else 0))
         self.targets = {key: tuple([share[key] for share in shares]) for key in self.demands}
 
     def target(self, key: HolderKey) -> Amounts:
-        """Return a holder's shares by the last snapshot."""
+        """Return a holder's shares from the last snapshot."""
         return self.targets.get(key, (0,) * len(self.totals))
 
     def total_demand(self) -> Amounts:
@@ -86,7 +86,7 @@
         return tuple(map(sum, zip(*rows, strict=True))) if rows else (0,) * len(self.totals)
 
     def clone(self) -> WeightedShareTable:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         other = copy(self)
         other.demands = self.demands.copy()
         return other
@@ -96,60 +96,60 @@
 class HolderDemand:
     """One holder of an `EqualShareTable`."""
 
-    position: int  # rises in the order in which holders came
+    position: int  # increases in the order in which holders were added
     demand: Amounts
-    added_in_snapshot: int  # the last snapshot before it came
-    nonzero_demand: list[tuple[int, int]]  # of `demand`: each budget that it wants, and the amount
+    added_in_snapshot: int  # the last snapshot before it was added
+    nonzero_demand: list[tuple[int, int]]  # index and amount of each non-zero demand
     changed_in_snapshot: int = -1  # the last snapshot after which the demand changed
-    snapshot_demand: list[tuple[int, int]] | None = None  # what it wanted at that snapshot
+    snapshot_demand: list[tuple[int, int]] | None = None  # `nonzero_demand` at that snapshot
 
 
 class Shortage(NamedTuple):
-    """A budget with more demand than units: each holder gets its demand or the level, some one more."""
+    """A budget with more demand than units: each holder gets min(demand, level), some one unit more."""
 
     level: int
-    one_more_from: tuple[int, int] | None  # an amount and a position: from here on one unit above the level
-    rotates: bool  # the position is one after the rotation
+    one_more_from: tuple[int, int] | None  # lowest amount and position with one more unit
+    rotates: bool  # whether the position is a rotated one
 
 
 class Surplus(NamedTuple):
-    """A budget with more units than demand, and a unit for each holder."""
+    """A budget that covers all demands and has at least one unit for each holder; the rest is lent."""
 
-    each: int  # lent to each holder, above its need
-    one_more_below: int  # and one more to holders with places below this
+    each: int  # lent to each holder in addition to its demand
+    one_more_below: int  # holders at positions below this get one more
 
 
 class EqualShareTable:
-    """Shares of holders of equal weight, in time that does not grow with their number.
+    """Divides units among holders of equal weight, in time that does not grow with their number.
 
-    A change of a demand costs a step in each changed budget's index. A snapshot works out one level for each
-    budget that has changed (for each budget, when holders came or left or the rotation moved on); a target is
-    read off the levels.
+    A change of a demand updates the index of each changed budget. A snapshot computes one level for each
+    changed budget, or for every budget if holders were added or removed or the rotation changed. Targets are
+    computed from the levels.
     """
 
     def __init__(self, totals: Amounts) -> None:
-        """Begin without holders."""
+        """Create a table without holders."""
         self.totals = totals
         self.zero = (0,) * len(totals)
         self.holders: dict[HolderKey, HolderDemand] = {}
-        self.positions: list[int] = []  # of all holders, rising
+        self.positions: list[int] = []  # of all holders, ascending
         self.next_position = 0
         self.indexes = [DemandIndex() for _ in totals]
         self.stale_budgets = set(range(len(totals)))
         self.holders_changed = True
-        # The last snapshot
+        # State of the last snapshot
         self.snapshot = 0
-        self.first_rank = 0  # the holder, by its rank, with which a rotation begins
+        self.first_rank = 0  # rank of the first holder in the rotation
         self.first_position = 0
         self.shortages: list[Shortage | None] = [None] * len(totals)
-        self.surpluses: dict[int, Surplus] = {}  # of budgets with a unit or more for each holder
-        # Of budgets with fewer units than holders: one is lent to holders with rotated positions below this.
+        self.surpluses: dict[int, Surplus] = {}  # of budgets with at least as many units as holders
+        # For budgets with fewer units than holders: rotated positions below this are lent one unit.
         self.lent_one_below: dict[int, int] = {}
-        self.lent_one_steps: list[int] = []  # the positions above, rising: all between two get the same
-        self.lent_one_rows: dict[int, list[int]] = {}  # of a holder, by the step that it is on
+        self.lent_one_steps: list[int] = []  # the distinct positions in `lent_one_below`, ascending
+        self.lent_one_rows: dict[int, list[int]] = {}  # lent units by step of `lent_one_steps`
 
     def update(self, key: HolderKey, demand: Amounts, weight: int) -> None:
-        """Set a holder's demand; `weight` is ignored, as all are equal here."""
+        """Set a holder's demand; `weight` is ignored, as all weights are equal."""
         holder = self.holders.get(key)
         if holder is None:
             holder = self.holders[key] = HolderDemand(self.next_position, self.zero, self.snapshot, [])
@@ -166,7 +166,7 @@
         holder.nonzero_demand = [(budget, amount) for budget, amount in enumerate(demand) if amount]
 
     def remove(self, key: HolderKey) -> None:
-        """Forget a holder."""
+        """Remove a holder."""
         holder = self.holders.pop(key, None)
         if holder is None:
             return
@@ -176,7 +176,7 @@
         self.holders_changed = True
 
     def set_totals(self, totals: Amounts) -> None:
-        """Set the units to divide of each budget."""
+        """Set the units of each budget to divide."""
         self.stale_budgets.update(changed_budgets(self.totals, totals))
         self.totals = totals
 
@@ -199,7 +199,7 @@
         self.holders_changed = False
 
     def target(self, key: HolderKey) -> Amounts:
-        """Return a holder's shares by the last snapshot."""
+        """Return a holder's shares from the last snapshot."""
         holder = self.holders[key]
         if holder.added_in_snapshot == self.snapshot:
             return self.zero
@@ -225,7 +225,7 @@
         return tuple([index.total for index in self.indexes])
 
     def clone(self) -> EqualShareTable:
-        """Return a copy that shares nothing that changes."""
+        """Return a copy that shares no mutable state."""
         other = copy(self)
         other.holders = {key: replace(holder) for key, holder in self.holders.items()}
         other.positions = self.positions.copy()
@@ -247,7 +247,7 @@
 
     def _compute_levels(self, budget: int, count: int) -> None:
         total, index = self.totals[budget], self.indexes[budget]
-        # Units rotate only where some holder has none: each move leaves them idle for a request or two.
+        # Rotate only if units are fewer than holders: each move leaves them idle for one or two requests.
         rotates = total < count
         self.surpluses.pop(budget, None)
         self.lent_one_below.pop(budget, None)
@@ -274,7 +274,7 @@
         return Shortage(level, (amount, rotated), rotates)
 
     def _lent_to(self, position: int, rotated_position: int) -> list[int]:
-        """Return what is lent to a holder of each budget, above its need."""
+        """Return the units of each budget lent to a holder in addition to its demand."""
         step = bisect_right(self.lent_one_steps, rotated_position)
         row = self.lent_one_rows.get(step)
         if row is None:
@@ -287,7 +287,7 @@
         return lent
 
     def _rotated_position(self, rank: int, rotates: bool) -> int:
-        """Return the position, as `target` compares it, of the holder of this rank."""
+        """Return the rotated position of the holder with this rank, as compared in `target`."""
         rank += self.first_rank if rotates else 0
         count = len(self.positions)
         return self.positions[rank] if rank < count else self.positions[rank - count] + WRAP_OFFSET
--- a/lupintack/budgets/shares.py
+++ b/lupintack/budgets/shares.py
@@ -1,4 +1,4 @@
-"""Whole units divided by need: max-min fair by weight, nothing lost and nothing made by rounding."""
+"""Weighted max-min fair division of whole units that preserves the total when rounding."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 def max_min_fair(total: int, demands: Sequence[Demand], rotation: int = 0) -> dict[Hashable, int]:
-    """Return parts that sum to `total` where there is any demand, and never to more.
+    """Return shares that sum to `total` if there is any entry in `demands`.
 
-    Each gets its need, or as much by weight as any that gets less than its need. What nobody needs is lent in
-    equal parts. Units that don't divide evenly are given by `turn`: where there are fewer units than holders
-    the caller moves it on, and each has its time.
+    Each holder gets its demand, or at least as much by weight as every other holder whose demand is not met.
+    Units above the total demand are lent in equal parts. `rotation` selects the holders that get the units
+    that don't divide evenly; if there are fewer units than holders, the caller advances it over time so that
+    each holder gets some.
     """
     if not demands or total <= 0:
         return {demand.key: 0 for demand in demands}
@@ -32,7 +33,7 @@
         shares[demand.key] = min(demand.amount, remaining * demand.weight // weights)
         remaining -= shares[demand.key]
         weights -= demand.weight
-    for demand in order:  # what rounding left, to those that lack something
+    for demand in order:  # units left by rounding go to holders with unmet demand
         if remaining and shares[demand.key] < demand.amount:
             shares[demand.key] += 1
             remaining -= 1
@@ -42,5 +43,5 @@
 
 
 def smooth_demand(previous: int, needed_units: int) -> int:
-    """Return the next demand after `needed_units` were needed: up at once, down by an eighth at a time."""
+    """Return the next demand: increases apply immediately, decreases by one eighth per call."""
     return needed_units if needed_units >= previous else max(needed_units, previous - max(1, previous // 8))
--- a/lupintack/budgets/spending.py
+++ b/lupintack/budgets/spending.py
@@ -1,4 +1,4 @@
-"""Spending limits of one holder: rates or concurrent uses, of several budgets together or of none."""
+"""Spending limits of one holder for rates and concurrent uses, with atomic spends on several budgets."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 class BudgetKind(Enum):
     """The kind of a budget's unit."""
 
-    RATE = "second"  # a rate
-    CONCURRENT = "at once"  # uses at the same time
+    RATE = "second"  # units per second
+    CONCURRENT = "at once"  # units in use at the same time
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One budget of the fleet: its name, its total in units, and how much of it may be spent in a burst."""
+    """One budget of the fleet: its name, its total in units, its reserved part and its burst."""
 
     name: str
     total_units: int
     kind: BudgetKind
     unit: str = "requests"
     reserved_per_mille: int = 100
-    burst_us: int = 250_000  # of a rate: the longest time for which unspent units accumulate
+    burst_us: int = 250_000  # for rates: the longest time for which unspent units accumulate
 
 
 @dataclass(slots=True)
@@ -35,13 +35,13 @@
     budget: Budget
     lease: int = 0
     reservation: int = 0
-    lease_until_us: int = 0  # of the lease
+    lease_until_us: int = 0
     accumulated: int = 0  # millionths of a unit
     updated_us: int = 0
     in_use: int = 0
 
     def set_amounts(self, lease: int, lease_until_us: int, reservation: int, now_us: int) -> None:
-        """Accumulate units up to `now_us` by the old amounts, while they lasted; then set the new amounts."""
+        """Accumulate units up to `now_us` from the previous amounts while valid, then set the new amounts."""
         if self.budget.kind is BudgetKind.RATE:
             elapsed_us = min(max(0, now_us - self.updated_us), self.budget.burst_us)
             leased_us = min(elapsed_us, max(0, min(now_us, self.lease_until_us) - self.updated_us))
@@ -58,15 +58,15 @@
         )
 
     def max_accumulated(self, lease: int, reservation: int) -> int:
-        """Return the most millionths that may accumulate: a smaller lease discards what is above it."""
+        """Return the limit for `accumulated`; a smaller lease discards any excess."""
         return (lease + reservation) * self.budget.burst_us
 
     def amount(self, now_us: int) -> int:
-        """Return the reservation, plus the lease while it lasts."""
+        """Return the reservation, plus the lease while it is valid."""
         return self.reservation + (self.lease if now_us < self.lease_until_us else 0)
 
     def available_units(self, now_us: int) -> int:
-        """Return how many units could be spent now."""
+        """Return the number of units that can be spent now."""
         if self.budget.kind is BudgetKind.CONCURRENT:
             return max(0, self.amount(now_us) - self.in_use)
         return (
@@ -78,7 +78,7 @@
         )
 
     def wait_us(self, units: int, now_us: int) -> int:
-        """Return how long until so many units are available, in microseconds; -1: not by waiting alone."""
+        """Return the microseconds until `units` are available; -1 if waiting alone can't provide them."""
         amount = self.amount(now_us)
         if (
             self.budget.kind is BudgetKind.CONCURRENT
@@ -89,23 +89,24 @@
 
 
 class SpendLimiter:
-    """One holder's balances of all budgets."""
+    """The balances of one holder for all budgets."""
 
     def __init__(self, budgets: Sequence[Budget], now_us: int) -> None:
-        """Begin without any amounts."""
+        """Create the balances, with all amounts zero."""
         self.balances = {budget.name: Balance(budget, updated_us=now_us) for budget in budgets}
 
     def set_amounts(
         self, leases: Sequence[int], lease_until_us: int, reservations: Sequence[int], now_us: int
     ) -> None:
-        """Set the amounts in the order of the budgets: leases with their end, and reservations."""
+        """Set leases, their end and reservations; rows are in the order of the budgets."""
         for balance, lease, reservation in zip(self.balances.values(), leases, reservations, strict=True):
             balance.set_amounts(lease, lease_until_us, reservation, now_us)
 
     def spend(self, units_by_budget: Mapping[str, int], now_us: int) -> str:
-        """Spend all units or none; return the first budget that lacks units, "" where all were spent.
+        """Spend all units or none; return the first budget that lacks units, or "" on success.
 
-        `now_us` is read at the spend itself: a lease that has run out since it was received gives nothing.
+        `now_us` must be the time of the spend, so that a lease that has expired since it was received does
+        not count.
         """
         for name, units in units_by_budget.items():
             balance = self.balances[name]
--- a/lupintack/budgets/vote_file.py
+++ b/lupintack/budgets/vote_file.py
@@ -1,8 +1,8 @@
-"""The file in which a voter's promise outlives its process, and when that can be believed. No I/O.
+"""Format and validation of the file that keeps a voter's promise across process restarts. No I/O.
 
-The monotonic clock goes on through a process's end, not through a machine's: the file names the boot. One
-that is torn, empty, another's, of another boot or ahead of what could have been promised says nothing, and
-its voter abstains.
+The monotonic clock continues across process restarts but not across reboots, so the file records the boot ID.
+A file that is truncated, empty, of another voter, fleet or boot, or later than any possible promise is
+rejected, and its voter abstains.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def encode_promise(promise: Promise, voter: str, fleet: str, boot: str) -> bytes:
-    """Return the file's bytes: a checksum over the rest, and the rest."""
+    """Return the file's contents: a checksum and the JSON object it covers."""
     fields = {
         "voter": voter,
         "fleet": fleet,
@@ -34,7 +34,7 @@
 def decode_promise(
     raw: bytes, voter: str, fleet: str, boot: str, terms: Terms, now_us: int
 ) -> Promise | None:
-    """Return the promise that the file holds, or None where it can't be believed."""
+    """Return the promise in the file, or None if the file is invalid."""
     if not boot or len(raw) > MAX_BYTES or raw[8:9] != b" " or not raw.endswith(b"\n"):
         return None
     body = raw[9:-1]
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -117,7 +117,7 @@
 
 
 def test_a_router_that_no_region_has_is_refused() -> None:
-    with pytest.raises(ConfigError, match="site 'nowhere' stands in 0 regions"):
+    with pytest.raises(ConfigError, match="site 'nowhere' is in 0 regions"):
         region_plan("x", "nowhere")
     with pytest.raises(ConfigError, match="east.*'a' is this router, whose site 's2' stands in .*west"):
         region_plan("a", "s2")
@@ -464,7 +464,7 @@
     [
         (
             PLAYED | {"regions": {"far": {"voters": ["n0"], "sites": ["elsewhere"]}}},
-            "site 'site0' stands in 0",
+            "site 'site0' is in 0 regions",
         ),
         (
             PLAYED
