--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("weight_of", [equal_weight, weight_by_name])
 @settings(max_examples=300, deadline=None)
 @given(told=runs(one_level=True))
-def test_any_requests_get_the_same_grants_as_before(
+def test_allocator_grants_match_reference_for_any_requests(
     weight_of: Callable[[str], int], told: tuple[tuple[int, ...], list[Step]]
 ) -> None:
     wholes, steps = told
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("weight_of", [equal_weight, weight_by_name])
 @settings(max_examples=300, deadline=None)
 @given(told=runs(one_level=False), shared_names=st.frozensets(st.sampled_from("abcdefg")))
-def test_any_requests_of_two_levels_get_the_same_grants_as_before(
+def test_allocator_grants_match_reference_for_any_two_level_requests(
     weight_of: Callable[[str], int], told: tuple[tuple[int, ...], list[Step]], shared_names: frozenset[str]
 ) -> None:
     wholes, steps = told
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_long_runs_of_many_holders_get_the_same_grants_as_before(seed: int) -> None:
+def test_allocator_grants_match_reference_in_long_runs_of_many_holders(seed: int) -> None:
     """More holders than units of some budgets, demands that mostly stay, and holders that come and go."""
     random = Random(seed)
     terms = Terms(lease_us=400, share_interval_us=random.choice((0, 10, 50)), max_holders=90)
@@ -188,7 +188,7 @@
     assert both.grants > 600
 
 
-def test_units_go_round_among_holders_that_stay_and_ask_for_the_same() -> None:
+def test_units_rotate_among_holders_with_constant_demand() -> None:
     """Nothing changes but the turn: holders that had none get one, and those that are lent one change."""
     both = SideBySide((3, 3), TERMS)
     had: set[str] = set()
@@ -210,7 +210,7 @@
 @given(
     st.lists(st.tuples(HOLDERS, st.one_of(st.integers(0, 30), st.integers(0, 1 << 61)), st.integers(0, 50)))
 )
-def test_the_equal_table_s_targets_are_those_of_max_min_fair(
+def test_share_table_targets_equal_max_min_fair(
     snapshots: list[tuple[dict[tuple[str, int], int], int, int]],
 ) -> None:
     table = EqualShareTable((0,))
@@ -245,7 +245,7 @@
 
 
 @given(st.lists(st.integers(1, 1 << 60), min_size=1, max_size=30), st.integers(1, 1 << 60))
-def test_the_water_level_is_the_highest_that_fits(amounts: list[int], whole: int) -> None:
+def test_water_level_is_the_highest_that_fits(amounts: list[int], whole: int) -> None:
     index = DemandIndex()
     for place, amount in enumerate(amounts):
         index.add(amount, place)
@@ -258,7 +258,7 @@
     assert index.total == 0 and not index.ordered and not any(index.counts) and not any(index.sums)
 
 
-def test_a_clone_goes_its_own_way() -> None:
+def test_clone_is_independent_of_original() -> None:
     for weight_of in (equal_weight, weight_by_name):
         first = Allocator(EPOCH, (10, 5), TERMS, -60, weight_of)
         for name in "abc":
@@ -272,7 +272,7 @@
         assert len(other.ledger) == 2
 
 
-def test_the_expiry_queue_holds_an_item_for_each_holder_however_often_it_renews() -> None:
+def test_expiry_queue_has_one_item_per_holder_despite_renewals() -> None:
     ledger = Ledger((30,))
     for round_number in range(50):
         for holder in range(20):
@@ -285,7 +285,7 @@
     assert not ledger and not ledger.expiry_queue and not ledger.queued and ledger.sums == [0]
 
 
-def test_an_entry_that_is_booked_to_end_sooner_ends_sooner() -> None:
+def test_entry_with_shortened_lease_expires_sooner() -> None:
     ledger = Ledger((30,))
     key = ("h", 1)
     ledger.set_entry(key, LedgerEntry(1, (0,), (4,), 100, (4,)))
@@ -367,7 +367,7 @@
         return count_steps(lambda: [self.renew() for _ in range(requests)]) // requests
 
 
-def test_a_request_takes_no_more_steps_with_thirty_times_the_holders() -> None:
+def test_request_cost_is_independent_of_holder_count() -> None:
     few, many = (Stream(holders, 3).steps_a_request() for holders in (100, 3_000))
     assert many < few * 1.5
     # The reference goes through all holders, and the count shows it.
@@ -375,6 +375,6 @@
     assert many > few * 1.5
 
 
-def test_a_request_takes_steps_by_the_number_of_budgets_at_most() -> None:
+def test_request_cost_is_at_most_linear_in_budget_count() -> None:
     few, many = (Stream(300, budgets).steps_a_request() for budgets in (23, 143))
     assert many < few * 143 / 23
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -46,9 +46,7 @@
 
 
 @given(st.integers(0, 2000), WANTS, st.integers(0, 99))
-def test_parts_sum_to_the_whole_and_nobody_with_less_than_its_need_has_less_than_another(
-    whole: int, told: list[tuple[int, int]], turn: int
-) -> None:
+def test_shares_sum_to_total_and_are_max_min_fair(whole: int, told: list[tuple[int, int]], turn: int) -> None:
     wants = [Demand(n, asked, weight) for n, (asked, weight) in enumerate(told)]
     parts = max_min_fair(whole, wants, turn)
     assert sum(parts.values()) == (whole if wants else 0) and all(part >= 0 for part in parts.values())
@@ -58,20 +56,20 @@
             assert (parts[other.key] - 2) * one.weight <= (parts[one.key] + 2) * other.weight
 
 
-def test_fewer_units_than_holders_go_round() -> None:
+def test_fewer_units_than_holders_rotate() -> None:
     wants = [Demand(n, 5) for n in range(10)]
     had = {want.key for turn in range(10) for want in wants if max_min_fair(3, wants, turn)[want.key]}
     assert len(had) == 10
 
 
 @given(st.integers(0, 100_000), st.integers(0, 1000), st.lists(st.sampled_from("abcdefgh")))
-def test_floors_and_what_is_divided_are_the_whole(whole: int, part: int, names: list[str]) -> None:
+def test_reservations_and_allocatable_units_sum_to_total(whole: int, part: int, names: list[str]) -> None:
     assert sum(reservations(whole, part, names).values()) + allocatable(whole, part, names) == whole
     assert sum(reservations(whole, part, names).values()) * 1000 <= whole * part
 
 
 @given(st.lists(st.integers(0, 10_000), min_size=1))
-def test_a_need_goes_up_at_once_and_down_slowly(asked: list[int]) -> None:
+def test_smoothed_demand_rises_immediately_and_falls_slowly(asked: list[int]) -> None:
     held = 0
     for one in asked:
         after = smooth_demand(held, one)
@@ -83,7 +81,7 @@
     st.lists(st.tuples(st.integers(0, 400_000), st.integers(0, 50), st.integers(0, 900_000)), max_size=40),
     st.integers(0, 20),
 )
-def test_a_rate_with_its_burst_is_never_passed(steps: list[tuple[int, int, int]], floor: int) -> None:
+def test_rate_budget_with_burst_is_never_exceeded(steps: list[tuple[int, int, int]], floor: int) -> None:
     """What is taken is at most what was held over time, and one burst of the most that was held."""
     budget = Budget("fills", 1000, BudgetKind.RATE)
     limiter = SpendLimiter([budget], 0)
@@ -99,7 +97,7 @@
     assert taken * MICROSECONDS_PER_SECOND <= earned + most * budget.burst_us
 
 
-def test_a_lease_that_has_run_out_gives_nothing_at_the_spend() -> None:
+def test_expired_lease_cannot_be_spent() -> None:
     limiter = SpendLimiter(
         [Budget("fills", 1000, BudgetKind.RATE), Budget("open", 9, BudgetKind.CONCURRENT)], 0
     )
@@ -118,7 +116,7 @@
     )
 
 
-def test_a_holder_counts_from_its_ask_and_takes_no_grant_twice_or_late() -> None:
+def test_lease_time_starts_at_request_and_repeated_or_late_grants_are_rejected() -> None:
     holder = LeaseHolder("a", 1, 1, TERMS)
     first = holder.request(EPOCH, (5,), 1000)
     grant = LeaseGrant(EPOCH, "a", 1, first.sequence, (5,))
@@ -133,13 +131,13 @@
 
 
 @given(st.integers(1, 10**8), st.integers(0, 100_000))
-def test_what_one_counts_on_is_over_before_the_other_s_time(us: int, ppm: int) -> None:
+def test_drift_safe_time_ends_before_the_other_clocks_time(us: int, ppm: int) -> None:
     terms = Terms(drift_ppm=ppm)
     slow, fast = MILLION - ppm, MILLION + ppm
     assert terms.drift_safe(us) * fast <= us * slow  # own(us) at the slow clock, us at the fast one
 
 
-def test_a_voter_keeps_its_word_over_a_restart_or_says_nothing() -> None:
+def test_voter_keeps_promise_after_restart_or_abstains() -> None:
     voter = Voter("v", TERMS, None, 0)
     assert not voter.handle_request(VoteRequest(EPOCH, 1), TERMS.promise_us - 1).granted
     now = TERMS.promise_us
@@ -160,7 +158,7 @@
 
 
 @pytest.mark.parametrize("delay_ms", [50, 200, 500])
-def test_one_is_elected_and_stays_also_where_answers_take_longer_than_a_round(delay_ms: int) -> None:
+def test_allocator_is_elected_and_stays_when_replies_take_longer_than_a_round(delay_ms: int) -> None:
     """Three voters whose messages each take so long; a round is 750 ms by the defaults, renewals 1 s apart.
     With 500 ms each way nobody was ever elected: all answers came to rounds that were over.
     """
@@ -188,7 +186,7 @@
     assert sum(node.leased_amounts(now)[0] for node in nodes.values()) == 12
 
 
-def test_a_voter_that_stood_in_vain_hears_of_the_one_that_divides() -> None:
+def test_voter_with_failed_candidacy_votes_for_lower_counter() -> None:
     """It refused a lower counter than its own, and stood again and again beside one that divided."""
     voter = Voter("v", TERMS, None, 0)
     now = TERMS.promise_us
@@ -199,7 +197,7 @@
     )
 
 
-def test_a_tenure_gives_no_more_than_what_is_held_until_the_older_ones_are_over() -> None:
+def test_new_tenure_grants_at_most_held_amounts_until_older_leases_expire() -> None:
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     grant = allocator.handle_request(LeaseRequest("h", 1, 1, EPOCH, (10,), (4,)), 1)
     assert grant is not None and grant.amounts == (4,)
@@ -221,7 +219,7 @@
     assert allocator.allocated() == (0,)
 
 
-def test_what_runs_on_past_its_lease_is_given_to_nobody() -> None:
+def test_units_in_use_above_the_lease_are_not_granted() -> None:
     """A part shrinks while more of it is out: the rest stays booked until its asks say that it ended."""
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     now = allocator.ready_us
@@ -242,13 +240,13 @@
 
 
 @pytest.mark.parametrize("first", range(0, 24, 8))
-def test_the_sum_is_never_passed_in_seeded_fleets(first: int) -> None:
+def test_seeded_fleets_never_exceed_totals(first: int) -> None:
     for seed in range(first, first + 8):
         result = World(seed, 9).run()
         assert not result.violation_count, result.violations
 
 
-def test_a_calm_fleet_uses_the_whole_and_divides_anew_when_most_have_died() -> None:
+def test_fleet_leases_all_units_and_reallocates_after_most_routers_die() -> None:
     result = World(1, 20, kinds=("loss",), script=[]).run()
     assert result.leased_shares[-1] > 0.99 and result.epochs == 1
     dead = Fault(10 * MICROSECONDS_PER_SECOND, "kill", 0, tuple(f"n{n}" for n in range(5, 19)))
@@ -259,11 +257,11 @@
     assert result.epochs == 1
 
 
-def test_a_seed_is_the_same_run_anywhere() -> None:
+def test_same_seed_gives_same_run() -> None:
     assert World(5, 9).run() == World(5, 9).run()
 
 
-def test_a_search_finds_no_sum_above_the_whole() -> None:
+def test_model_check_finds_no_sum_above_total() -> None:
     bounds = PLANTED_BUGS["no-wait"].bounds  # in which that flaw is found after 6 steps
     assert bounds is not None
     found = budget_check.search(bounds, budget_check.clock_rates()[0])
@@ -271,11 +269,11 @@
 
 
 @pytest.mark.parametrize("name", PLANTED_BUGS)
-def test_a_planted_flaw_is_caught(name: str) -> None:
+def test_planted_bug_is_detected_by_seeds(name: str) -> None:
     assert find_by_seeds(name, 60) is not None
 
 
-def test_the_search_s_shortest_script_replays_and_keeps_the_promise_without_the_flaw() -> None:
+def test_search_script_reproduces_violation_only_with_planted_bug() -> None:
     script, rates = find_by_search("no-wait")
     assert script
     with planted(PLANTED_BUGS["no-wait"]):
@@ -283,7 +281,7 @@
     assert not any(budget_check.replay(script, rates))
 
 
-def test_nobody_alone_divides_and_one_of_one_does() -> None:
+def test_single_voter_allocates_only_when_it_is_the_only_configured_voter() -> None:
     alone = BudgetNode("a", 1, ("a", "b", "c"), (10,), TERMS, Random(1), 0)
     for now in range(0, 20 * MICROSECONDS_PER_SECOND, 50_000):
         alone.tick(now)
@@ -301,7 +299,7 @@
     assert only.leased_amounts(40 * MICROSECONDS_PER_SECOND - 50_000) == (10,)
 
 
-def test_the_commands_say_it_on_one_line_and_by_their_code() -> None:
+def test_lab_commands_report_json_and_exit_code() -> None:
     run = CliRunner().invoke(main, ["lab", "budgets", "--routers", "6", "--seeds", "0-1", "--json"])
     assert run.exit_code == 0, run.output
     assert json.loads(run.output)["oversum"] == 0
@@ -315,7 +313,7 @@
 PROMISE = Promise(Epoch(3, "a", 9), 5_000_000, 4)
 
 
-def test_a_kept_promise_is_believed_whole_or_not_at_all() -> None:
+def test_invalid_vote_file_is_rejected() -> None:
     raw = vote_file.encode_promise(PROMISE, "v", "f", "boot")
     said = ("v", "f", "boot", TERMS, 4_000_000)
     assert vote_file.decode_promise(raw, *said) == PROMISE
@@ -329,7 +327,7 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_read_without_a_traceback(raw: bytes) -> None:
+def test_arbitrary_bytes_are_rejected_without_other_exceptions(raw: bytes) -> None:
     assert vote_file.decode_promise(raw, "v", "f", "boot", TERMS, 0) is None
     codec = BudgetCodec(MessageCodec("f", "s"), 2)
     for told in (raw, b"B\x01" + raw):
@@ -337,7 +335,7 @@
             codec.decode(told)
 
 
-def test_messages_are_read_as_they_were_said_and_nothing_else_is() -> None:
+def test_messages_round_trip_and_altered_datagrams_are_rejected() -> None:
     codec = BudgetCodec(MessageCodec("f", "s"), 2)
     said: tuple[Message, ...] = (
         VoteRequest(EPOCH, 3), VoteReply("v", EPOCH, 3, True, 9), VoteRelease(EPOCH),
@@ -361,5 +359,5 @@
 
 @settings(max_examples=25)
 @given(st.integers(0, 10**6))
-def test_any_small_fleet_keeps_the_promise(seed: int) -> None:
+def test_small_fleet_keeps_invariant_for_any_seed(seed: int) -> None:
     assert not World(seed, 3, totals=(5,)).run().violation_count
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -105,7 +105,7 @@
         play.close()
 
 
-def test_the_divider_killed_paused_and_cut_off_and_never_more_than_the_whole(tmp_path: Path) -> None:
+def test_leases_never_exceed_total_when_allocator_is_killed_paused_or_cut_off(tmp_path: Path) -> None:
     with routers(tmp_path) as (play, book):
         first = book.allocator()
         book.kill(first)
@@ -130,7 +130,7 @@
         assert 0 < book.most(0) <= rest[0] and 0 < book.most(1) <= rest[1]
 
 
-def test_what_one_router_holds_is_told_to_the_staff(tmp_path: Path) -> None:
+def test_fleet_budgets_command_shows_leases_of_one_router(tmp_path: Path) -> None:
     with routers(tmp_path, 3) as (play, book):
         admin = f"127.0.0.1:{play.admin['n1']}"
         run = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin, "--json"])
@@ -151,7 +151,7 @@
     )  # fmt: skip
 
 
-def test_what_a_floor_covers_is_not_told_as_out_under_a_lease(tmp_path: Path) -> None:
+def test_units_covered_by_reservation_are_not_reported_in_use(tmp_path: Path) -> None:
     """Three voters at their floors and leases, and three units of nine were given to nobody for good."""
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         first, second = part(tmp_path, []), part(tmp_path, [])
@@ -169,7 +169,7 @@
         second.close()
 
 
-def test_of_two_processes_of_one_name_one_votes_and_has_the_floor(tmp_path: Path) -> None:
+def test_only_one_of_two_processes_of_a_name_votes_and_has_reservation(tmp_path: Path) -> None:
     """Each gave the name's word by itself: an upgrade could make two majorities."""
     epoch, other = Epoch(1, "a", 1), Epoch(1, "b", 1)
     codec = BudgetCodec(MessageCodec("f", "s"), 1)
@@ -205,7 +205,7 @@
         ({"enabled": True, "voters": ["a"], "at_once": {f"x{n}": 1 << 40 for n in range(40)}}, "a datagram"),
     ],
 )
-def test_a_table_that_can_t_be_used_is_named(table: dict[str, Any], wrong: str) -> None:
+def test_invalid_budgets_table_is_reported_with_key(table: dict[str, Any], wrong: str) -> None:
     from lupintack.operator import parse
     from lupintack.settings.errors import ConfigError
 
@@ -245,9 +245,7 @@
         (Redirect(TENURE), "5a6234e28477f358609d96ff", f"0591{EPOCH_BYTES}"),
     ],
 )
-def test_the_bytes_of_version_1_stay_what_running_routers_speak(
-    message: Message, code: str, body: str
-) -> None:
+def test_version_1_encoding_is_unchanged(message: Message, code: str, body: str) -> None:
     """As commit 5c0df44 worded them: the magic, the version, the keyed code, the envelope, the message."""
     codec = BudgetCodec(MessageCodec("f", "s"), 2)
     raw = codec.encode("n0", "127.0.0.1:9092", message)
--- a/tests/test_hierarchy.py
+++ b/tests/test_hierarchy.py
@@ -56,7 +56,7 @@
 )
 
 
-def test_the_promise_holds_up_to_each_of_its_bounds() -> None:
+def test_invariant_holds_up_to_each_bound() -> None:
     assert not violations(KEPT)
     assert not violations(single_level((5, 7), [(2, 7), (3, 0)]))
     assert violations(single_level((5, 7), [(2, 7), (4, 0)])) == [
@@ -85,18 +85,18 @@
         ),
     ],
 )
-def test_each_bound_is_looked_at_alone(changed: BudgetState, found: Violation) -> None:
+def test_each_bound_is_checked_independently(changed: BudgetState, found: Violation) -> None:
     assert violations(changed) == [found]
 
 
 @pytest.mark.parametrize("first", range(0, 8, 2))
-def test_no_sum_is_passed_in_seeded_fleets_of_three_regions(first: int) -> None:
+def test_seeded_fleets_of_three_regions_never_exceed_bounds(first: int) -> None:
     for seed in range(first, first + 2):
         result = LevelsWorld(seed).run()
         assert not result.violation_count, result.violations
 
 
-def test_a_region_cut_off_for_an_hour_works_on_its_reserve_and_its_own_sites_budgets() -> None:
+def test_region_cut_off_for_an_hour_uses_its_reserve_and_own_budgets() -> None:
     """All of the reserve but what moves between its routers, and none of what is the other regions'."""
     cut = Fault(60 * SECOND_US, "region-cut", HOUR_US, ("r1",))
     world = LevelsWorld(5, routers=9, script=[cut], terms=LONG_TERMS)
@@ -109,11 +109,11 @@
     assert 0 <= seen.recovery_us < 2 * LONG_TERMS.lease_us
 
 
-def test_a_seed_is_the_same_run_anywhere() -> None:
+def test_same_seed_gives_same_run() -> None:
     assert LevelsWorld(3, routers=9).run() == LevelsWorld(3, routers=9).run()
 
 
-def test_the_command_plays_regions_on_one_line() -> None:
+def test_lab_budgets_command_simulates_regions() -> None:
     asked = ["lab", "budgets", "--regions", "3", "--routers", "9", "--seeds", "0-1", "--json"]
     run = CliRunner().invoke(main, asked)
     assert run.exit_code == 0, run.output
@@ -122,7 +122,7 @@
     assert run.exit_code == 2 and "routers" in run.output
 
 
-def test_a_new_tenure_leaves_what_it_has_no_parent_lease_for_yet_to_its_holder() -> None:
+def test_new_tenure_without_parent_lease_does_not_reduce_holders_lease() -> None:
     """A grant of nothing would take from a router what it has of the older tenure."""
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     allocator.set_allocatable((10,), (0,))
@@ -136,7 +136,7 @@
     assert given is not None and given.amounts == (0,)  # it has nothing to lose
 
 
-def test_a_regions_new_allocator_takes_the_place_of_the_old_one_in_the_shares() -> None:
+def test_new_regional_allocator_replaces_old_one_in_shares() -> None:
     allocator = Allocator(EPOCH, (12,), TERMS, 0)
     allocator.shared_names = frozenset({"west", "east"})
     now = allocator.ready_us
@@ -149,7 +149,7 @@
     assert given is not None and given.amounts == (6,)  # not 4 beside a share for the older one
 
 
-def test_routers_keep_their_leases_while_their_regions_allocator_changes() -> None:
+def test_routers_keep_leases_while_regional_allocator_changes() -> None:
     """One of 18 routers was killed. Another may not have asked in time, as with one level."""
     lowest = []
     for seed in range(4):
@@ -160,7 +160,7 @@
     assert min(lowest) > 0.75 and sum(lowest) / len(lowest) > 0.85
 
 
-def test_a_request_that_waits_for_a_parent_lease_is_answered_when_that_comes() -> None:
+def test_request_waiting_for_parent_lease_is_answered_after_its_grant() -> None:
     """Its sender would ask again only after a while, and might lose its lease till then."""
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     allocator.set_allocatable((10,), (0,))
@@ -173,30 +173,30 @@
 
 
 @pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if not flaw.steps])
-def test_a_flaw_planted_in_two_levels_is_caught_by_seeds(name: str) -> None:
+def test_planted_two_level_bug_is_detected_by_seeds(name: str) -> None:
     assert find_level_bug_by_seeds(name, 20) is not None
 
 
 @pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if flaw.steps])
-def test_a_flaw_that_seeds_hardly_show_is_caught_by_its_script(name: str) -> None:
+def test_planted_bug_rarely_shown_by_seeds_is_detected_by_its_script(name: str) -> None:
     assert find_level_bug_by_script(name)
     clean = budget_level_check.replay(PLANTED_LEVEL_BUGS[name].steps, budget_level_check.clock_rates()[0])
     assert not any(clean)
 
 
 @pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if flaw.level_bounds])
-def test_the_search_of_two_levels_finds_a_planted_flaw(name: str) -> None:
+def test_two_level_model_check_finds_planted_bug(name: str) -> None:
     script, _ = find_level_bug_by_search(name)
     assert script
 
 
-def test_a_search_of_two_levels_finds_no_broken_bound() -> None:
+def test_two_level_model_check_finds_no_violation() -> None:
     for rates in (budget_level_check.clock_rates()[0], budget_level_check.clock_rates()[2]):
         found = budget_level_check.search(budget_level_check.LevelBounds(max_depth=4), rates)
         assert not found.script and found.is_complete and found.states > 1000
 
 
-def test_the_commands_check_two_levels_and_plant_a_flaw_in_them() -> None:
+def test_lab_commands_check_two_levels_and_plant_bug() -> None:
     asked = ["lab", "check", "budgets", "--levels", "2", "--depth", "2", "--json"]
     run = CliRunner().invoke(main, asked)
     assert run.exit_code == 0, run.output
@@ -205,7 +205,7 @@
     assert run.exit_code == 0 and json.loads(run.output)["caught_at"] == "script"
 
 
-def test_a_region_that_lacks_something_asks_the_fleets_allocator_sooner() -> None:
+def test_region_with_unmet_demand_requests_parent_lease_sooner() -> None:
     region = Region("west", ("a",), ())
     plan = plan_region([Budget("fills", 100, BudgetKind.CONCURRENT)], [region], region)
     node = TwoLevelNode("a", 1, ("a",), plan, TERMS, Random(1), 0, votes=True)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -29,9 +29,7 @@
 @pytest.mark.parametrize("number", [h.CACHES[0], h.PARENTS[0]])
 @hyp(max_examples=15, deadline=None)
 @given(slots=st.lists(st.integers(0, 8), min_size=1, max_size=8).filter(lambda found: sum(found) <= 8))
-def test_what_leases_give_never_sums_to_more_than_a_cold_members_budget(
-    number: int, slots: list[int]
-) -> None:
+def test_leased_shares_never_exceed_cold_members_budget(number: int, slots: list[int]) -> None:
     """Whatever the settings say of how many routers there are; and a process without a slot sends nothing."""
     told: dict[str, Any] = {"router_count": 3, "routers_by_zone": (2, 0, 0), "router_index": 0}
     whole = cold(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
@@ -42,7 +40,7 @@
         assert (spent([made], number, made.settings) > 0.0) == (n > 0)
 
 
-def test_a_slot_that_has_gone_takes_what_it_had_gathered_along() -> None:
+def test_lost_slot_discards_accumulated_units() -> None:
     made = cold(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
     peer, known = made.endpoints.by_id[h.PARENTS[0]], made.settings
     assert peer.slow_start.refill(WARM_AT + 500.0, known.overload_window_ms, 1, 1.0) > 0.0
@@ -57,7 +55,7 @@
     return made
 
 
-def test_no_more_fills_at_the_store_than_the_lease_has_and_the_next_is_answered_at_once() -> None:
+def test_origin_fills_are_limited_by_lease_and_excess_is_rejected_immediately() -> None:
     made = origin_only(max_origin_fills=2)
     seen = []
     for n in range(4):
@@ -73,7 +71,7 @@
     assert made.origin_fills.demand(11.0) > 2.9
 
 
-def test_a_write_is_no_fill() -> None:
+def test_write_does_not_count_as_origin_fill() -> None:
     made = origin_only(max_origin_fills=0)
     actions = made.handle(1.0, [h.ask(1, 7, cls=h.UNSAFE, now=1.0)])
     assert [a.member for a in actions if isinstance(a, i.Fetch)]
@@ -82,12 +80,12 @@
 @given(
     whole=st.floats(0.01, 100.0), routers=st.integers(1, 300), processes=st.integers(1, 2),
 )  # fmt: skip
-def test_parts_by_number_sum_to_the_whole_at_most(whole: float, routers: int, processes: int) -> None:
+def test_quotas_by_router_count_sum_to_at_most_total(whole: float, routers: int, processes: int) -> None:
     found = [quota(whole, routers, processes, -1.0) for _ in range(routers)]
     assert sum(found) * processes <= whole * (1 + 1e-9)
 
 
-def test_what_was_wanted_fades_and_counts_what_was_not_had() -> None:
+def test_demand_decays_and_includes_denied_fills() -> None:
     one, store = Demand(), OriginFillLimit()
     for n in range(100):
         one.add(10.0, n * 10.0)  # 10 ms of sending each 10 ms: a rate of one
@@ -106,7 +104,7 @@
 )  # fmt: skip
 
 
-def test_leases_and_needs_go_by_the_budgets_names() -> None:
+def test_leases_and_demand_are_mapped_by_budget_name() -> None:
     found = core_leases(BUDGETS, (2, 8, 1, 9, 7), 99, "east")
     assert found == Leases(0.25, 0.25, 7, 99)
     assert core_leases((), (), 0, "east") == Leases(-1.0, -1.0, -1, 0)
@@ -128,7 +126,7 @@
     return core
 
 
-def test_an_attempt_decided_under_a_lease_is_not_written_once_it_has_run_out() -> None:
+def test_attempt_is_obsolete_after_its_lease_expires() -> None:
     link = unittest.mock.Mock()
     told: list[MeasuredDemand] = []
     core = hosted(link)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -24,7 +24,7 @@
 
 
 @given(st.integers(0, 5000), st.integers(0, 1000), st.integers(1, 30))
-def test_a_fleet_wide_budget_is_split_among_both_levels_without_rest(
+def test_fleet_wide_budget_is_split_completely_among_both_levels(
     whole: int, reserved: int, count: int
 ) -> None:
     found = regions(count)
@@ -34,7 +34,7 @@
     assert {plan.fleet_allocatable[0] + below for plan in plans} == {whole}
 
 
-def test_a_budget_of_a_site_is_its_regions_alone() -> None:
+def test_site_budget_belongs_only_to_its_region() -> None:
     found = regions(2)
     budgets = [Budget("cold.r0s1", 60, BudgetKind.CONCURRENT), Budget("fills", 90, BudgetKind.CONCURRENT)]
     here, there = (plan_region(budgets, found, one) for one in found)
@@ -46,7 +46,7 @@
         region_of_site(found, "nowhere")
 
 
-def test_a_smaller_grant_covers_what_was_leased_before_until_that_is_over() -> None:
+def test_smaller_grant_covers_earlier_leases_until_they_expire() -> None:
     """The fleet's allocator books what a request reports, so its region may finish on that."""
     terms = Terms()
     holder = LeaseHolder("west", 7, 1, terms)
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -20,7 +20,7 @@
 NO_PARENTS = {name: kind for name, kind in HOSTS.items() if kind != "parent"}
 
 
-def test_all_of_them_together_keep_to_the_stores_fills_through_a_dividers_death(tmp_path: Path) -> None:
+def test_origin_fills_of_all_routers_stay_within_budget_when_allocator_dies(tmp_path: Path) -> None:
     """Six processes whose clients want twice as much as there is. What is asked of the store never passes
     the whole, is most of it while one divides, and every request has one answer, a refusal with its time.
     """
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -70,7 +70,7 @@
 # The operator file
 
 
-def test_a_router_goes_by_the_plan_of_its_sites_region() -> None:
+def test_router_uses_plan_of_its_sites_region() -> None:
     east, west = region_plan("a", "s0"), region_plan("d", "s2")
     assert [one.name for one in east.budgets] == ["fills", "cold-caches.s1"]
     assert [one.name for one in west.budgets] == ["fills", "cold-caches.s2"]
@@ -90,7 +90,7 @@
         ({"zones": 1}, "[budgets.regions[...]] zones"),
     ],
 )
-def test_a_region_that_can_t_be_used_is_named(changes: dict[str, Any], wrong: str) -> None:
+def test_invalid_region_is_reported_with_key(changes: dict[str, Any], wrong: str) -> None:
     regions = REGIONS | {"east": REGIONS["east"] | changes}
     with pytest.raises(ConfigError) as error:
         operator_file(TABLE | {"regions": regions})
@@ -110,20 +110,20 @@
         ({"regions": {"": REGIONS["east"]}}, "a region's name is wanted"),
     ],
 )
-def test_a_table_with_regions_that_can_t_be_used_is_named(changes: dict[str, Any], wrong: str) -> None:
+def test_invalid_table_with_regions_is_reported_with_key(changes: dict[str, Any], wrong: str) -> None:
     with pytest.raises(ConfigError) as error:
         operator_file(TABLE | changes)
     assert wrong in str(error.value) and "operator.toml" in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_router_that_no_region_has_is_refused() -> None:
+def test_router_outside_its_region_is_rejected() -> None:
     with pytest.raises(ConfigError, match="site 'nowhere' is in 0 regions"):
         region_plan("x", "nowhere")
     with pytest.raises(ConfigError, match="east.*'a' is this router, whose site 's2' stands in .*west"):
         region_plan("a", "s2")
 
 
-def test_a_budget_for_each_of_140_sites_fits_in_27_regions() -> None:
+def test_plan_with_budgets_for_140_sites_in_27_regions_is_valid() -> None:
     sites = {f"r{n}": [f"s{k}" for k in range(n, 140, 27)] for n in range(27)}
     regions = {name: {"voters": [f"{name}v{n}" for n in range(5)], "sites": of} for name, of in sites.items()}
     budgets = {"store-fills": 40_000, "cold-parents": 3_000, "reads": 900}
@@ -145,7 +145,9 @@
 
 @pytest.mark.parametrize("message", MESSAGES)
 @pytest.mark.parametrize("level", list(Level))
-def test_a_message_of_two_levels_is_read_as_it_was_said(message: Message, level: Level) -> None:
+def test_two_level_message_round_trips_and_altered_datagrams_are_rejected(
+    message: Message, level: Level
+) -> None:
     codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 2, 2)
     raw = codec.encode("h", "127.0.0.1:1", level, message)
     assert raw[:2] == b"B\x02" and codec.decode(raw) == ("h", "127.0.0.1:1", level, message)
@@ -161,7 +163,7 @@
             stranger.decode(raw)
 
 
-def test_the_two_versions_don_t_hear_one_another() -> None:
+def test_codecs_reject_messages_of_the_other_version() -> None:
     one, two = BudgetCodec(MessageCodec("f", "s"), 2), TwoLevelCodec(MessageCodec("f", "s"), "east", 2, 2)
     first, second = one.encode("h", "", Redirect(EPOCH)), two.encode("h", "", Level.FLEET, Redirect(EPOCH))
     for codec, raw in ((one, second), (two, first)):
@@ -176,7 +178,7 @@
         one.encode("h", "", SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 900_000))
 
 
-def test_rows_have_the_length_of_their_level_and_a_region_hears_its_own_alone() -> None:
+def test_codec_rejects_wrong_row_length_and_other_regions_level() -> None:
     codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
     wide, all_of_them = LeaseGrant(EPOCH, "h", 1, 2, (5,)), SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 9)
     for level, right, wrong in (
@@ -194,7 +196,7 @@
     assert error.value.reason is DropReason.FOREIGN
 
 
-def test_no_message_is_larger_than_the_bound_on_its_plan() -> None:
+def test_largest_datagram_bytes_bounds_all_messages() -> None:
     name = "n" * 64
     amounts = (900, 1 << 40)
     epoch = Epoch(1 << 60, name, 1 << 60)
@@ -220,7 +222,7 @@
     )  # fmt: skip
 
 
-def test_each_level_s_vote_has_its_own_file_and_a_new_process_goes_by_both(tmp_path: Path) -> None:
+def test_votes_are_stored_per_level_and_restored_by_new_process(tmp_path: Path) -> None:
     other, there = Epoch(4, "d", 1), Epoch(5, "b", 1)
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old = service(tmp_path, [])
@@ -241,7 +243,7 @@
         assert votes == ["fleet", "region"]
 
 
-def test_a_vote_that_can_t_be_stored_is_not_given_at_its_level_alone(tmp_path: Path) -> None:
+def test_vote_that_cannot_be_stored_is_withheld_only_at_its_level(tmp_path: Path) -> None:
     sent: list[Any] = []
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         one = service(tmp_path, sent)
@@ -259,7 +261,7 @@
         one.close()
 
 
-def test_of_two_processes_of_one_name_one_votes_and_has_the_region_s_reservation(tmp_path: Path) -> None:
+def test_only_one_of_two_processes_votes_and_has_region_reservation(tmp_path: Path) -> None:
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old, new = service(tmp_path, []), service(tmp_path, [])
         for one in (old, new):
@@ -271,7 +273,7 @@
         new.close()
 
 
-def test_a_router_of_one_level_is_counted_as_another_version(tmp_path: Path) -> None:
+def test_dropped_datagrams_of_other_version_or_region_are_counted(tmp_path: Path) -> None:
     one = service(tmp_path, [])
     one.take(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
     one.take(
@@ -296,7 +298,7 @@
     return found | changes
 
 
-def test_the_page_says_who_allocates_at_each_level_and_what_the_parent_lease_gives() -> None:
+def test_budgets_page_shows_allocators_and_parent_lease() -> None:
     lines = budgets_page(status({}, {"epoch": [5, "d", 1]}, None)).splitlines()
     assert lines[0] == "region east: b divides, epoch 3; the lease ends in 7000 ms"
     assert lines[1] == "fleet: d divides, epoch 5"
@@ -367,7 +369,7 @@
         return float(held / self.leasable(n))
 
 
-def test_three_regions_through_faults_of_each_level_and_never_more_than_the_whole(tmp_path: Path) -> None:
+def test_leases_never_exceed_totals_in_three_regions_with_faults_at_each_level(tmp_path: Path) -> None:
     """Nine processes whose clients want more than there is: a region's allocator killed, the fleet's paused,
     a region cut off and back. The sum holds at every instant, by what all tell and at the store.
     """
@@ -473,7 +475,7 @@
         ),
     ],
 )
-def test_a_router_that_can_t_take_its_place_ends_at_once_with_one_line(
+def test_router_with_invalid_region_exits_with_one_line(
     tmp_path: Path, table: dict[str, Any], wrong: str
 ) -> None:
     play = Routers(tmp_path, 1, tables=lambda name: {"budgets": table})
