--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -24,7 +24,7 @@
 from lupintack.standins.routers import Routers
 from tests import test_two_levels as played
 
-TABLE = played.PLAYED | {"promise_ms": 3000, "lease_ms": 8000}
+TABLE = played.PROCESS_TABLE | {"promise_ms": 3000, "lease_ms": 8000}
 PATIENCE_S = 90.0
 
 
@@ -43,13 +43,13 @@
             tables=lambda name: {"budgets": TABLE},
             fleet=fleet,
         )
-        self.book = played.TwoLevelBook(self.routers)
+        self.book = played.TwoLevelLeaseRecorder(self.routers)
         self.began = 0.0
 
     def all_leased(self) -> bool:
         """Of the budget that all want."""
-        self.book.look()
-        return self.book.leased_part(played.FILLS) > 0.99
+        self.book.sample()
+        return self.book.last_leased_share(played.FILLS) > 0.99
 
     def until(self, text: str) -> None:
         """Wait until one allocates to the regions, and all is leased."""
@@ -59,7 +59,7 @@
         """Let that time go by, and read what is told."""
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
-            self.book.look()
+            self.book.sample()
             time.sleep(0.2)
 
     def stretch(self, text: str) -> None:
@@ -104,10 +104,10 @@
     def sums(self) -> dict[str, list[int]]:
         """For each budget the highest sum of leases at any instant, and what leases may come to."""
         wide = {"fills": played.FILLS, "store-fills": played.STORE}
-        found = {name: [self.book.most(n), self.book.leasable(n)] for name, n in wide.items()}
+        found = {name: [self.book.peak_sum(n), self.book.leasable(n)] for name, n in wide.items()}
         for region in TABLE["regions"]:
             names = [name for name in self.routers.names if played.REGION_OF[name] == region]
-            found[region] = [self.book.most(played.OWN, names), self.book.leasable(played.OWN)]
+            found[region] = [self.book.peak_sum(played.OWN, names), self.book.leasable(played.OWN)]
         return found
 
 
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -38,42 +38,46 @@
 }  # fmt: skip
 
 
-class Book:
+class LeaseRecorder:
     """Every lease that any process held, from what they tell of themselves; all share one machine's clock."""
 
-    def __init__(self, play: Routers) -> None:
-        self.play = play
+    def __init__(self, routers: Routers) -> None:
+        self.routers = routers
         self.leases: dict[tuple[str, int], dict[int, tuple[int, tuple[int, ...]]]] = {}
-        self.ended: dict[tuple[str, int], int] = {}
-        self.now: dict[str, dict[str, Any]] = {}
+        self.ended_us: dict[tuple[str, int], int] = {}
+        self.statuses: dict[str, dict[str, Any]] = {}
 
-    def look(self) -> None:
-        for name in self.play.running:
-            told = self.play.status(name).get("budgets") if name not in self.play.paused else None
+    def sample(self) -> None:
+        for name in self.routers.running:
+            told = self.routers.status(name).get("budgets") if name not in self.routers.paused else None
             if told is not None:
-                self.now[name] = told
+                self.statuses[name] = told
                 held = self.leases.setdefault((name, told["start"]), {})
                 held.update({taken: (ends, tuple(amounts)) for taken, ends, amounts in told["leases"]})
 
     def kill(self, name: str) -> None:
-        self.look()
-        self.play.kill([name])
-        self.ended[name, self.now.pop(name)["start"]] = time.monotonic_ns() // 1000
+        self.sample()
+        self.routers.kill([name])
+        self.ended_us[name, self.statuses.pop(name)["start"]] = time.monotonic_ns() // 1000
 
     def allocator(self) -> str:
         """Who divides and is past its wait; "" for nobody."""
-        self.look()
-        running = [n for n in self.play.running if n not in self.play.paused]
-        return next((n for n in running if self.now.get(n, {}).get("ready")), "")
+        self.sample()
+        running = [n for n in self.routers.running if n not in self.routers.paused]
+        return next((n for n in running if self.statuses.get(n, {}).get("ready")), "")
 
-    def share(self, n: int = 0) -> float:
+    def leased_share(self, n: int = 0) -> float:
         """What all of them hold now, of what is divided."""
-        self.look()
-        held = sum(self.now[name]["budgets"][n]["lease"] for name in self.play.running if name in self.now)
-        told = self.now[next(iter(self.now))]["budgets"][n]
+        self.sample()
+        held = sum(
+            self.statuses[name]["budgets"][n]["lease"]
+            for name in self.routers.running
+            if name in self.statuses
+        )
+        told = self.statuses[next(iter(self.statuses))]["budgets"][n]
         return float(held / (told["whole"] - 3 * told["floor"]))
 
-    def most(self, n: int = 0, names: Collection[str] | None = None) -> int:
+    def peak_sum(self, n: int = 0, names: Collection[str] | None = None) -> int:
         """The highest sum of all leases, or of those of some routers, at any instant."""
         steps: list[tuple[int, int]] = []
         for key, told in self.leases.items():
@@ -82,7 +86,7 @@
             taken = sorted(told)
             for at, after in zip(taken, [*taken[1:], 1 << 62], strict=True):
                 ends, amounts = told[at]
-                ends = min(ends, after, self.ended.get(key, 1 << 62))
+                ends = min(ends, after, self.ended_us.get(key, 1 << 62))
                 if ends > at:
                     steps += [(at, amounts[n]), (ends, -amounts[n])]
         level = most = 0
@@ -93,54 +97,62 @@
 
 
 @contextmanager
-def routers(tmp: Path, count: int = 6) -> Iterator[tuple[Routers, Book]]:
+def running_routers(tmp: Path, count: int = 6) -> Iterator[tuple[Routers, LeaseRecorder]]:
     """All started; one divides."""
-    play = Routers(tmp, count, tables=lambda name: {"budgets": TABLE})
+    routers = Routers(tmp, count, tables=lambda name: {"budgets": TABLE})
     try:
-        play.start()
-        book = Book(play)
-        play.until(lambda: bool(book.allocator()) and book.share() > 0.99, 20.0, "the whole is divided")
-        yield play, book
+        routers.start()
+        recorder = LeaseRecorder(routers)
+        routers.until(
+            lambda: bool(recorder.allocator()) and recorder.leased_share() > 0.99,
+            20.0,
+            "the whole is divided",
+        )
+        yield routers, recorder
     finally:
-        play.close()
+        routers.close()
 
 
 def test_leases_never_exceed_total_when_allocator_is_killed_paused_or_cut_off(tmp_path: Path) -> None:
-    with routers(tmp_path) as (play, book):
-        first = book.allocator()
-        book.kill(first)
-        play.until(lambda: book.allocator() not in ("", first), 20.0, "another divides")
-        play.until(lambda: book.share() > 0.99, 20.0, "also what the dead one had")
-        play.launch(first)
-        second = book.allocator()
-        play.pause([second])
-        play.until(lambda: book.allocator() not in ("", second), 20.0, "a third divides")
-        play.resume([second])
-        play.until(lambda: book.share() > 0.99, 20.0, "the one that was paused has a part again")
-        third = book.allocator()
-        others = [name for name in play.names if name != third]
-        play.switch.split([third], others)
-        play.until(lambda: book.allocator() not in ("", third), 20.0, "the larger part divides")
-        play.until(lambda: book.now[third]["lease_ends_ms"] == 0, 20.0, "the one cut off has no lease")
-        play.switch.heal()
-        play.until(lambda: book.share() > 0.99, 20.0, "all have parts again")
-        assert not [name for name in play.names if "Traceback" in play.log(name)]
-        rest = [one["whole"] - 3 * one["floor"] for one in book.now[play.names[0]]["budgets"]]
+    with running_routers(tmp_path) as (routers, recorder):
+        first = recorder.allocator()
+        recorder.kill(first)
+        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another divides")
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "also what the dead one had")
+        routers.launch(first)
+        second = recorder.allocator()
+        routers.pause([second])
+        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third divides")
+        routers.resume([second])
+        routers.until(
+            lambda: recorder.leased_share() > 0.99, 20.0, "the one that was paused has a part again"
+        )
+        third = recorder.allocator()
+        others = [name for name in routers.names if name != third]
+        routers.switch.split([third], others)
+        routers.until(lambda: recorder.allocator() not in ("", third), 20.0, "the larger part divides")
+        routers.until(
+            lambda: recorder.statuses[third]["lease_ends_ms"] == 0, 20.0, "the one cut off has no lease"
+        )
+        routers.switch.heal()
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "all have parts again")
+        assert not [name for name in routers.names if "Traceback" in routers.log(name)]
+        rest = [one["whole"] - 3 * one["floor"] for one in recorder.statuses[routers.names[0]]["budgets"]]
         assert rest[0] == WHOLE - 3 * 33
-        assert 0 < book.most(0) <= rest[0] and 0 < book.most(1) <= rest[1]
+        assert 0 < recorder.peak_sum(0) <= rest[0] and 0 < recorder.peak_sum(1) <= rest[1]
 
 
 def test_fleet_budgets_command_shows_leases_of_one_router(tmp_path: Path) -> None:
-    with routers(tmp_path, 3) as (play, book):
-        admin = f"127.0.0.1:{play.admin['n1']}"
+    with running_routers(tmp_path, 3) as (routers, recorder):
+        admin = f"127.0.0.1:{routers.admin['n1']}"
         run = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin, "--json"])
         assert run.exit_code == 0, run.output
         told = json.loads(run.output)
         assert [one["name"] for one in told["budgets"]] == ["fills", "probes"]
         page = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
-        assert page.exit_code == 0 and f"{book.allocator()} divides, epoch" in page.output
-        play.term("n0")
-        play.until(lambda: book.share() > 0.99, 20.0, "what it gave back is divided")
+        assert page.exit_code == 0 and f"{recorder.allocator()} divides, epoch" in page.output
+        routers.term("n0")
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "what it gave back is divided")
 
 
 def part(tmp: Path, sent: list[Any]) -> BudgetService:
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -9,7 +9,7 @@
 from lupintack.standins.fleet import Fleet, Terms
 from lupintack.standins.routers import Routers
 from lupintack.standins.store import PATIENCE_S, Clients, Level
-from tests.test_division import TABLE, Book
+from tests.test_division import TABLE, LeaseRecorder
 
 WHOLE = 12
 EACH = 4  # clients of each router; each has one request at a time
@@ -27,28 +27,32 @@
     level = Level()
     fleet = Fleet(Terms(delay_s=lambda name, cls: 0.1), NO_PARENTS)
     fleet.watch = level.watch
-    play = Routers(tmp_path, 6, tables=lambda name: {"budgets": SPENT}, fleet=fleet)
+    routers = Routers(tmp_path, 6, tables=lambda name: {"budgets": SPENT}, fleet=fleet)
     clients = None
     try:
-        play.start()
-        book = Book(play)
-        play.until(lambda: bool(book.allocator()) and book.share() > 0.99, 20.0, "the whole is divided")
-        clients = Clients(play.listen, EACH)
-        play.until(lambda: level.out > WHOLE / 2, 20.0, "the store is in use")
+        routers.start()
+        recorder = LeaseRecorder(routers)
+        routers.until(
+            lambda: bool(recorder.allocator()) and recorder.leased_share() > 0.99,
+            20.0,
+            "the whole is divided",
+        )
+        clients = Clients(routers.listen, EACH)
+        routers.until(lambda: level.out > WHOLE / 2, 20.0, "the store is in use")
         begun = time.monotonic()
-        play.until(lambda: level.mean(begun, time.monotonic()) > WHOLE * 0.5, 20.0, "and well used")
-        first = book.allocator()
-        book.kill(first)
-        play.until(lambda: book.allocator() not in ("", first), 20.0, "another divides")
-        play.until(lambda: book.share() > 0.8, 20.0, "also what the dead one had")
-        play.launch(first)
-        second = book.allocator()
-        play.pause([second])
+        routers.until(lambda: level.mean(begun, time.monotonic()) > WHOLE * 0.5, 20.0, "and well used")
+        first = recorder.allocator()
+        recorder.kill(first)
+        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another divides")
+        routers.until(lambda: recorder.leased_share() > 0.8, 20.0, "also what the dead one had")
+        routers.launch(first)
+        second = recorder.allocator()
+        routers.pause([second])
         slept = time.monotonic()
-        play.until(lambda: book.allocator() not in ("", second), 20.0, "a third divides")
-        play.resume([second])
+        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third divides")
+        routers.resume([second])
         slept = time.monotonic() - slept
-        play.until(lambda: book.share() > 0.8, 20.0, "the one that was paused has a part again")
+        routers.until(lambda: recorder.leased_share() > 0.8, 20.0, "the one that was paused has a part again")
         ends = clients.stop()
         assert 0 < level.most() <= WHOLE
         assert ends["200"] > 100 and ends["503"] > 100
@@ -61,8 +65,8 @@
         # or its client had left by then.
         assert set(paused) <= {"200", "503", "502", "unanswered"} and paused["502"] <= EACH, paused
         assert paused["unanswered"] <= EACH * (1 + int(slept / PATIENCE_S)), (slept, paused)
-        assert not [name for name in play.names if "Traceback" in play.log(name)]
+        assert not [name for name in routers.names if "Traceback" in routers.log(name)]
     finally:
         if clients is not None:
             clients.stop()
-        play.close()
+        routers.close()
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -39,7 +39,7 @@
 from lupintack.standins import store
 from lupintack.standins.deployment import HOSTS
 from lupintack.standins.routers import Routers
-from tests.test_division import Book
+from tests.test_division import LeaseRecorder
 
 EPOCH = Epoch(1, "a", 1)
 REGIONS: dict[str, Any] = {
@@ -322,7 +322,7 @@
 ROUTERS, REGION_COUNT = 9, 3
 PATIENCE_S = 60.0  # for one step: the machine may be busy
 FILLS, STORE, OWN = range(3)  # of each router's budgets: two of the fleet, one of its region
-PLAYED: dict[str, Any] = {
+PROCESS_TABLE: dict[str, Any] = {
     "enabled": True,
     "voters": ["n0", "n1", "n2"],  # one of each region
     "per_second": {"fills": 1000},
@@ -335,37 +335,41 @@
         for n in range(REGION_COUNT)
     },
 }
-REGION_OF = {name: region for region, one in PLAYED["regions"].items() for name in one["voters"]}
+REGION_OF = {name: region for region, one in PROCESS_TABLE["regions"].items() for name in one["voters"]}
 
 
-class TwoLevelBook(Book):
+class TwoLevelLeaseRecorder(LeaseRecorder):
     """What the processes tell, by region; all of them have a reservation, and none may be lent to another."""
 
     def region_allocator(self, region: str) -> str:
         """Who allocates in this region and is past its wait; "" for nobody."""
-        self.look()
-        names = [name for name in self.live() if REGION_OF[name] == region]
-        return next((name for name in names if self.now.get(name, {}).get("ready")), "")
+        self.sample()
+        names = [name for name in self.active_routers() if REGION_OF[name] == region]
+        return next((name for name in names if self.statuses.get(name, {}).get("ready")), "")
 
     def fleet_allocator(self) -> str:
         """Who allocates to the regions and is past its wait; "" for nobody."""
-        self.look()
-        return next((n for n in self.live() if self.now.get(n, {}).get("fleet", {}).get("ready")), "")
+        self.sample()
+        return next(
+            (n for n in self.active_routers() if self.statuses.get(n, {}).get("fleet", {}).get("ready")), ""
+        )
 
-    def live(self) -> list[str]:
+    def active_routers(self) -> list[str]:
         """Those that run and aren't paused."""
-        return [name for name in self.play.running if name not in self.play.paused]
+        return [name for name in self.routers.running if name not in self.routers.paused]
 
     def leasable(self, n: int) -> int:
         """What all leases may come to: the whole without all names' reservations."""
-        plan = region_plan("n0", "site0", PLAYED)
+        plan = region_plan("n0", "site0", PROCESS_TABLE)
         names = ROUTERS if n < plan.fleet_wide else ROUTERS // REGION_COUNT
         return plan.budgets[n].total_units - names * plan.name_reservations[n]
 
-    def leased_part(self, n: int, region: str = "") -> float:
+    def last_leased_share(self, n: int, region: str = "") -> float:
         """What all held at the last look, or those of a region, of what all leases may come to."""
-        names = [name for name in self.play.running if name in self.now and region in ("", REGION_OF[name])]
-        held = sum(self.now[name]["budgets"][n]["lease"] for name in names)
+        names = [
+            name for name in self.routers.running if name in self.statuses and region in ("", REGION_OF[name])
+        ]
+        held = sum(self.statuses[name]["budgets"][n]["lease"] for name in names)
         return float(held / self.leasable(n))
 
 
@@ -377,23 +381,23 @@
     terms = caches.Terms(delay_s=lambda name, cls: 0.2)
     fleet = caches.Fleet(terms, {name: kind for name, kind in HOSTS.items() if kind != "parent"})
     fleet.watch = level.watch
-    play = Routers(
-        tmp_path, ROUTERS, sites=REGION_COUNT, tables=lambda name: {"budgets": PLAYED}, fleet=fleet
+    routers = Routers(
+        tmp_path, ROUTERS, sites=REGION_COUNT, tables=lambda name: {"budgets": PROCESS_TABLE}, fleet=fleet
     )
     clients = None
     try:
-        play.start()
-        book = TwoLevelBook(play)
+        routers.start()
+        recorder = TwoLevelLeaseRecorder(routers)
 
         def all_leased() -> bool:
             """Of the budget that all want, and of each region's own."""
-            book.look()
-            own = (book.leased_part(OWN, region) for region in PLAYED["regions"])
-            return book.leased_part(FILLS) > 0.99 and all(part > 0.99 for part in own)
+            recorder.sample()
+            own = (recorder.last_leased_share(OWN, region) for region in PROCESS_TABLE["regions"])
+            return recorder.last_leased_share(FILLS) > 0.99 and all(part > 0.99 for part in own)
 
-        play.until(lambda: bool(book.fleet_allocator()) and all_leased(), PATIENCE_S, "all is leased")
-        clients = store.Clients(play.listen, CLIENTS)
-        play.until(lambda: level.out > STORE_FILLS / 2, PATIENCE_S, "the store is in use")
+        routers.until(lambda: bool(recorder.fleet_allocator()) and all_leased(), PATIENCE_S, "all is leased")
+        clients = store.Clients(routers.listen, CLIENTS)
+        routers.until(lambda: level.out > STORE_FILLS / 2, PATIENCE_S, "the store is in use")
 
         def found(who: Callable[[], str], text: str) -> str:
             """Its name, as soon as there is one: on a busy machine a term may run out between two looks."""
@@ -403,74 +407,85 @@
                 names.append(who())
                 return bool(names[-1])
 
-            play.until(there, PATIENCE_S, text)
+            routers.until(there, PATIENCE_S, text)
             return names[-1]
 
-        asked = found(lambda: book.region_allocator("region1"), "region1 has an allocator")
-        admin = f"127.0.0.1:{play.admin[asked]}"
+        asked = found(lambda: recorder.region_allocator("region1"), "region1 has an allocator")
+        admin = f"127.0.0.1:{routers.admin[asked]}"
         page = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
         assert page.exit_code == 0 and "parent lease: ends in" in page.output, page.output
 
-        fleets = found(book.fleet_allocator, "the fleet has an allocator")
-        region = next(one for one in PLAYED["regions"] if one != REGION_OF[fleets])
-        killed = found(lambda: book.region_allocator(region), "the region to be struck has one")
-        book.kill(killed)
-        play.until(lambda: bool(book.region_allocator(region)), PATIENCE_S, "another one of its region")
-        play.launch(killed)
-        play.until(lambda: all_leased() and killed in book.now, PATIENCE_S, "all is leased after a kill")
+        fleets = found(recorder.fleet_allocator, "the fleet has an allocator")
+        region = next(one for one in PROCESS_TABLE["regions"] if one != REGION_OF[fleets])
+        killed = found(lambda: recorder.region_allocator(region), "the region to be struck has one")
+        recorder.kill(killed)
+        routers.until(
+            lambda: bool(recorder.region_allocator(region)), PATIENCE_S, "another one of its region"
+        )
+        routers.launch(killed)
+        routers.until(
+            lambda: all_leased() and killed in recorder.statuses, PATIENCE_S, "all is leased after a kill"
+        )
 
-        paused = found(book.fleet_allocator, "the fleet has one to be paused")
-        play.pause([paused])
+        paused = found(recorder.fleet_allocator, "the fleet has one to be paused")
+        routers.pause([paused])
         slept = time.monotonic()
-        play.until(lambda: book.fleet_allocator() not in ("", paused), PATIENCE_S, "another one of the fleet")
-        play.resume([paused])
+        routers.until(
+            lambda: recorder.fleet_allocator() not in ("", paused), PATIENCE_S, "another one of the fleet"
+        )
+        routers.resume([paused])
         slept = time.monotonic() - slept
-        play.until(all_leased, PATIENCE_S, "all is leased after a pause")
+        routers.until(all_leased, PATIENCE_S, "all is leased after a pause")
 
-        away = [name for name in play.names if REGION_OF[name] == "region2"]
-        play.switch.split(away, [name for name in play.names if name not in away])
-        play.until(lambda: cut_off(book, away), PATIENCE_S, "the region has no parent lease")
+        away = [name for name in routers.names if REGION_OF[name] == "region2"]
+        routers.switch.split(away, [name for name in routers.names if name not in away])
+        routers.until(lambda: cut_off(recorder, away), PATIENCE_S, "the region has no parent lease")
 
         def own_leased() -> bool:
             """Of the region that is cut off."""
-            book.look()
-            return book.leased_part(OWN, "region2") > 0.99
-
-        play.until(own_leased, PATIENCE_S, "and leases its own budget")
-        held = sum(book.now[name]["budgets"][FILLS]["lease"] for name in away)
-        assert held <= region_plan("n2", "site2", PLAYED).region_pool[FILLS]
-        play.switch.heal()
-        play.until(all_leased, PATIENCE_S, "all is leased after a cut")
+            recorder.sample()
+            return recorder.last_leased_share(OWN, "region2") > 0.99
+
+        routers.until(own_leased, PATIENCE_S, "and leases its own budget")
+        held = sum(recorder.statuses[name]["budgets"][FILLS]["lease"] for name in away)
+        assert held <= region_plan("n2", "site2", PROCESS_TABLE).region_pool[FILLS]
+        routers.switch.heal()
+        routers.until(all_leased, PATIENCE_S, "all is leased after a cut")
         ends = clients.stop()
 
-        won = [line for name in play.names for line in play.log(name).splitlines() if "event=won" in line]
+        won = [
+            line for name in routers.names for line in routers.log(name).splitlines() if "event=won" in line
+        ]
         assert all(any(f"budget_level={one.value}" in line for line in won) for one in Level)
         assert all("level=info" in line.split() for line in won)
-        assert not [name for name in play.names if "Traceback" in play.log(name)]
+        assert not [name for name in routers.names if "Traceback" in routers.log(name)]
         for n in (FILLS, STORE):
-            assert 0 < book.most(n) <= book.leasable(n), n
-        for one in PLAYED["regions"]:
-            names = [name for name in play.names if REGION_OF[name] == one]
-            assert 0 < book.most(OWN, names) <= book.leasable(OWN), one
+            assert 0 < recorder.peak_sum(n) <= recorder.leasable(n), n
+        for one in PROCESS_TABLE["regions"]:
+            names = [name for name in routers.names if REGION_OF[name] == one]
+            assert 0 < recorder.peak_sum(OWN, names) <= recorder.leasable(OWN), one
         assert 0 < level.most() <= STORE_FILLS
         assert ends["200"] > 100 and ends["503"] > 100
         all_answered(clients.by_router, killed, paused, slept)
     finally:
         if clients is not None:
             clients.stop()
-        play.close()
+        routers.close()
 
 
 @pytest.mark.parametrize(
     ("table", "wrong"),
     [
         (
-            PLAYED | {"regions": {"far": {"voters": ["n0"], "sites": ["elsewhere"]}}},
+            PROCESS_TABLE | {"regions": {"far": {"voters": ["n0"], "sites": ["elsewhere"]}}},
             "site 'site0' is in 0 regions",
         ),
         (
-            PLAYED
-            | {"regions": PLAYED["regions"] | {"region1": {"voters": ["n1", "n2"], "sites": ["site1"]}}},
+            PROCESS_TABLE
+            | {
+                "regions": PROCESS_TABLE["regions"]
+                | {"region1": {"voters": ["n1", "n2"], "sites": ["site1"]}}
+            },
             "[budgets.regions.region1] voters: an odd number",
         ),
     ],
@@ -478,19 +493,19 @@
 def test_router_with_invalid_region_exits_with_one_line(
     tmp_path: Path, table: dict[str, Any], wrong: str
 ) -> None:
-    play = Routers(tmp_path, 1, tables=lambda name: {"budgets": table})
+    routers = Routers(tmp_path, 1, tables=lambda name: {"budgets": table})
     try:
-        play.launch("n0")
-        assert play.running["n0"].wait(PATIENCE_S) == 2
-        assert wrong in play.log("n0") and play.log("n0").count("\n") == 1
+        routers.launch("n0")
+        assert routers.running["n0"].wait(PATIENCE_S) == 2
+        assert wrong in routers.log("n0") and routers.log("n0").count("\n") == 1
     finally:
-        play.close()
+        routers.close()
 
 
-def cut_off(book: TwoLevelBook, names: list[str]) -> bool:
+def cut_off(recorder: TwoLevelLeaseRecorder, names: list[str]) -> bool:
     """Whether the allocator of these routers' region has no parent lease any more."""
-    allocator = book.region_allocator(REGION_OF[names[0]])
-    parent = book.now[allocator]["parent_lease"] if allocator else None
+    allocator = recorder.region_allocator(REGION_OF[names[0]])
+    parent = recorder.statuses[allocator]["parent_lease"] if allocator else None
     return parent is not None and parent["ends_ms"] == 0 and not any(parent["covered"])
 
 
