--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -1,4 +1,4 @@
-"""The allocator: the same grants as the one that went through all holders, in work that stays flat."""
+"""Tests of the allocator: the same grants as the reference allocator, at a cost independent of holders."""
 
 from __future__ import annotations
 
@@ -28,54 +28,54 @@
 
 
 def weight_by_name(name: str) -> int:
-    """Some holders count more than others."""
+    """Return a weight that depends on the name."""
     return 1 + ord(name[0]) % 3
 
 
 @dataclass(frozen=True)
 class Step:
-    """One request, some time after the one before."""
+    """One request, `gap_us` after the previous one."""
 
     gap_us: int
     name: str
     demand: tuple[int, ...]
     kind: str = "renew"
     in_use: tuple[int, ...] = ()
-    held: tuple[int, ...] | None = None  # None: what the last grant gave
-    pool: Pool | None = None  # of the allocator, from this request on
+    held: tuple[int, ...] | None = None  # None: the amounts of the last grant
+    pool: Pool | None = None  # set at the allocator before this request
 
 
 @dataclass(frozen=True)
 class Pool:
-    """What an allocator that grants from a lease of its own has."""
+    """The amounts and lease time of an allocator that grants from a parent lease."""
 
     allocatable: tuple[int, ...]
     ceiling: tuple[int, ...]
-    lease_us: int | None  # how long its leases may last from here on; None: their full time
+    lease_us: int | None  # maximum time of its leases from now; None: their full time
 
 
-class SideBySide:
-    """Holders that ask the allocator and the reference the same."""
+class AllocatorComparison:
+    """Sends the same requests to the allocator and to the reference, and compares both."""
 
     def __init__(
         self,
-        wholes: tuple[int, ...],
+        totals: tuple[int, ...],
         terms: Terms,
         weight_of: Callable[[str], int] = equal_weight,
         shared_names: frozenset[str] = frozenset(),
     ) -> None:
-        self.allocator = Allocator(EPOCH, wholes, terms, 0, weight_of)
-        self.reference = ReferenceAllocator(EPOCH, wholes, terms, 0, weight_of)
+        self.allocator = Allocator(EPOCH, totals, terms, 0, weight_of)
+        self.reference = ReferenceAllocator(EPOCH, totals, terms, 0, weight_of)
         self.allocator.shared_names = self.reference.shared_names = shared_names
-        self.zero = (0,) * len(wholes)
+        self.zero = (0,) * len(totals)
         self.now = 0
         self.starts: dict[str, int] = {}
         self.sequences: dict[tuple[str, int], int] = {}
         self.held: dict[tuple[str, int], tuple[int, ...]] = {}
         self.grants = 0
 
-    def take(self, step: Step) -> None:
-        """Send one request to both, and compare all that can be seen of them."""
+    def handle_step(self, step: Step) -> None:
+        """Send one request to both, and compare their grants and visible state."""
         self.now += step.gap_us
         if step.pool is not None:
             self.set_pool(step.pool)
@@ -88,23 +88,27 @@
         assert self.allocator.available_to(key) == self.reference.available_to(key)
         assert list(self.allocator.ledger) == list(self.reference.ledger)
         for key, entry in self.reference.ledger.items():
-            mine = self.allocator.ledger[key]
-            assert (mine.sequence, mine.demand, mine.amounts) == (entry.sequence, entry.demand, entry.amounts)
-            assert (mine.until_us, mine.granted) == (entry.until_us, entry.granted)
-            assert mine.granted_until_us == entry.granted_until_us
-            assert mine.granted_lease_us == entry.granted_lease_us
+            actual = self.allocator.ledger[key]
+            assert (actual.sequence, actual.demand, actual.amounts) == (
+                entry.sequence,
+                entry.demand,
+                entry.amounts,
+            )
+            assert (actual.until_us, actual.granted) == (entry.until_us, entry.granted)
+            assert actual.granted_until_us == entry.granted_until_us
+            assert actual.granted_lease_us == entry.granted_lease_us
         if grant is not None:
             self.grants += 1
             self.held[grant.name, grant.start] = grant.amounts
 
     def set_pool(self, pool: Pool) -> None:
-        """What both may grant from now on."""
+        """Set the amounts that both may grant."""
         for one in (self.allocator, self.reference):
             one.set_allocatable(pool.allocatable, pool.ceiling)
             one.expires_by_us = self.now + pool.lease_us if pool.lease_us is not None else None
 
     def request(self, step: Step) -> LeaseRequest:
-        """The request that this step stands for."""
+        """Return the request of a step."""
         if step.kind == "restart":
             self.starts[step.name] = self.starts.get(step.name, 1) + 1
         key = (step.name, self.starts.get(step.name, 1))
@@ -123,7 +127,7 @@
 
 
 def steps_of(budgets: int, one_level: bool) -> st.SearchStrategy[list[Step]]:
-    """Sequences of requests about so many budgets."""
+    """Return a strategy for sequences of requests for `budgets` budgets."""
     amounts = st.tuples(*[st.one_of(st.just(0), st.integers(0, 9), st.integers(0, 300))] * budgets)
     leases = st.one_of(st.none(), st.integers(-5, 70))
     step = st.builds(
@@ -139,64 +143,69 @@
     return st.lists(step, max_size=40)
 
 
-def runs(one_level: bool) -> st.SearchStrategy[tuple[tuple[int, ...], list[Step]]]:
-    """The wholes of some budgets, and requests about them."""
-    whole = st.one_of(st.integers(0, 9), st.integers(0, 400))
+def totals_and_steps_of(one_level: bool) -> st.SearchStrategy[tuple[tuple[int, ...], list[Step]]]:
+    """Return a strategy for the totals of some budgets and requests for them."""
+    total = st.one_of(st.integers(0, 9), st.integers(0, 400))
     return st.integers(1, 3).flatmap(
-        lambda budgets: st.tuples(st.tuples(*[whole] * budgets), steps_of(budgets, one_level))
+        lambda budgets: st.tuples(st.tuples(*[total] * budgets), steps_of(budgets, one_level))
     )
 
 
 @pytest.mark.parametrize("weight_of", [equal_weight, weight_by_name])
 @settings(max_examples=300, deadline=None)
-@given(told=runs(one_level=True))
+@given(totals_and_steps=totals_and_steps_of(one_level=True))
 def test_allocator_grants_match_reference_for_any_requests(
-    weight_of: Callable[[str], int], told: tuple[tuple[int, ...], list[Step]]
+    weight_of: Callable[[str], int], totals_and_steps: tuple[tuple[int, ...], list[Step]]
 ) -> None:
-    wholes, steps = told
-    both = SideBySide(wholes, TERMS, weight_of)
+    totals, steps = totals_and_steps
+    comparison = AllocatorComparison(totals, TERMS, weight_of)
     for step in steps:
-        both.take(step)
+        comparison.handle_step(step)
 
 
 @pytest.mark.parametrize("weight_of", [equal_weight, weight_by_name])
 @settings(max_examples=300, deadline=None)
-@given(told=runs(one_level=False), shared_names=st.frozensets(st.sampled_from("abcdefg")))
+@given(
+    totals_and_steps=totals_and_steps_of(one_level=False),
+    shared_names=st.frozensets(st.sampled_from("abcdefg")),
+)
 def test_allocator_grants_match_reference_for_any_two_level_requests(
-    weight_of: Callable[[str], int], told: tuple[tuple[int, ...], list[Step]], shared_names: frozenset[str]
+    weight_of: Callable[[str], int],
+    totals_and_steps: tuple[tuple[int, ...], list[Step]],
+    shared_names: frozenset[str],
 ) -> None:
-    wholes, steps = told
-    both = SideBySide(wholes, TERMS, weight_of, shared_names)
+    totals, steps = totals_and_steps
+    comparison = AllocatorComparison(totals, TERMS, weight_of, shared_names)
     for step in steps:
-        both.take(step)
+        comparison.handle_step(step)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_allocator_grants_match_reference_in_long_runs_of_many_holders(seed: int) -> None:
-    """More holders than units of some budgets, demands that mostly stay, and holders that come and go."""
+    """Some budgets have fewer units than holders; most demands stay constant; holders join and leave."""
     random = Random(seed)
     terms = Terms(lease_us=400, share_interval_us=random.choice((0, 10, 50)), max_holders=90)
     names = [f"h{n}" for n in range(80)]
-    both = SideBySide((30, 79, 2_000, 100_000), terms)
+    comparison = AllocatorComparison((30, 79, 2_000, 100_000), terms)
     demands: dict[str, tuple[int, ...]] = {name: (0, 0, 0, 0) for name in names}
     for _ in range(800):
         name = random.choice(names)
         if random.random() < 0.3:
             demands[name] = tuple(random.choice((0, 1, 2, 40, 3_000)) for _ in range(4))
         kind = random.choices(("renew", "restart", "leave", "repeat"), (95, 2, 2, 1))[0]
-        both.take(Step(random.choice((0, 1, 1, 2, 5)), name, demands[name], kind))
-    assert both.grants > 600
+        comparison.handle_step(Step(random.choice((0, 1, 1, 2, 5)), name, demands[name], kind))
+    assert comparison.grants > 600
 
 
 def test_units_rotate_among_holders_with_constant_demand() -> None:
-    """Nothing changes but the turn: holders that had none get one, and those that are lent one change."""
-    both = SideBySide((3, 3), TERMS)
-    had: set[str] = set()
+    """Only the rotation changes: each holder gets a unit at some time, demanded or lent."""
+    comparison = AllocatorComparison((3, 3), TERMS)
+    granted_names: set[str] = set()
     for step in range(80):
         name = "abcde"[step % 5]
-        both.take(Step(7, name, (4, 0)))
-        had |= {name} if any(both.held[name, 1]) else set()
-    assert had == set("abcde")
+        comparison.handle_step(Step(7, name, (4, 0)))
+        granted_names |= {name} if any(comparison.held[name, 1]) else set()
+    assert granted_names == set("abcde")
 
 
 HOLDERS = st.dictionaries(
@@ -216,7 +225,7 @@
     table = EqualShareTable((0,))
     weighted = WeightedShareTable((0,))
     order: dict[tuple[str, int], int] = {}
-    for holders, whole, turn in snapshots:
+    for holders, total, turn in snapshots:
         for key in [key for key in order if key not in holders]:
             del order[key]
             table.remove(key)
@@ -225,36 +234,36 @@
         for key, amount in holders.items():
             table.update(key, (amount,), 1)
             weighted.update(key, (amount,), 1)
-        table.set_totals((whole,))
-        weighted.set_totals((whole,))
+        table.set_totals((total,))
+        weighted.set_totals((total,))
         table.take_snapshot(turn)
         weighted.take_snapshot(turn)
-        for table_or_other in (table, weighted):  # it comes after the snapshot
-            table_or_other.update(("new", 1), (5,), 1)
-            assert table_or_other.target(("new", 1)) == (0,)
-            table_or_other.remove(("new", 1))
+        for any_table in (table, weighted):  # a holder added after the snapshot
+            any_table.update(("new", 1), (5,), 1)
+            assert any_table.target(("new", 1)) == (0,)
+            any_table.remove(("new", 1))
         demands = [Demand(key, amount) for key, amount in order.items()]
-        expected = max_min_fair(whole, demands, turn if whole < len(demands) else 0)
+        expected = max_min_fair(total, demands, turn if total < len(demands) else 0)
         assert {key: table.target(key)[0] for key in order} == expected
         assert {key: weighted.target(key)[0] for key in order} == expected
         # A demand that changes later changes no target before the next snapshot.
-        for table_or_other in (table, weighted):
+        for any_table in (table, weighted):
             for key in order:
-                table_or_other.update(key, (7,), 1)
-            assert {key: table_or_other.target(key)[0] for key in order} == expected
+                any_table.update(key, (7,), 1)
+            assert {key: any_table.target(key)[0] for key in order} == expected
 
 
 @given(st.lists(st.integers(1, 1 << 60), min_size=1, max_size=30), st.integers(1, 1 << 60))
-def test_water_level_is_the_highest_that_fits(amounts: list[int], whole: int) -> None:
+def test_water_level_is_the_highest_that_fits(amounts: list[int], total: int) -> None:
     index = DemandIndex()
-    for place, amount in enumerate(amounts):
-        index.add(amount, place)
-    if index.total > whole:
-        level, left = index.water_level(whole)
-        assert sum(min(amount, level) for amount in amounts) + left == whole
-        assert sum(min(amount, level + 1) for amount in amounts) > whole
-    for place, amount in enumerate(amounts):
-        index.remove(amount, place)
+    for position, amount in enumerate(amounts):
+        index.add(amount, position)
+    if index.total > total:
+        level, remaining = index.water_level(total)
+        assert sum(min(amount, level) for amount in amounts) + remaining == total
+        assert sum(min(amount, level + 1) for amount in amounts) > total
+    for position, amount in enumerate(amounts):
+        index.remove(amount, position)
     assert index.total == 0 and not index.ordered and not any(index.counts) and not any(index.sums)
 
 
@@ -263,12 +272,12 @@
         first = Allocator(EPOCH, (10, 5), TERMS, -60, weight_of)
         for name in "abc":
             first.handle_request(LeaseRequest(name, 1, 1, EPOCH, (6, 0), (0, 0)), 1)
-        seen = (first.allocated(), first.targets(), list(first.ledger.items()))
+        state_before = (first.allocated(), first.targets(), list(first.ledger.items()))
         other = first.clone()
         other.handle_request(LeaseRequest("a", 1, 2, EPOCH, (1, 1), (0, 0)), 30)
         other.handle_request(LeaseRequest("b", 1, 2, EPOCH, (9, 9), (0, 0)), 80)
-        assert seen == (first.allocated(), first.targets(), list(first.ledger.items()))
-        assert seen != (other.allocated(), other.targets(), list(other.ledger.items()))
+        assert state_before == (first.allocated(), first.targets(), list(first.ledger.items()))
+        assert state_before != (other.allocated(), other.targets(), list(other.ledger.items()))
         assert len(other.ledger) == 2
 
 
@@ -280,7 +289,7 @@
             assert ledger.expire(now) == []
             ledger.set_entry((f"h{holder}", 1), LedgerEntry(round_number, (0,), (1,), now + 60, (1,)))
         assert len(ledger.expiry_queue) <= 20
-    assert len(ledger.expire(1_050)) == 11  # booked at 980 to 990, for 60 each
+    assert len(ledger.expire(1_050)) == 11  # booked from 980 to 990, each for 60
     ledger.expire(2_000)
     assert not ledger and not ledger.expiry_queue and not ledger.queued and ledger.sums == [0]
 
@@ -296,8 +305,8 @@
     assert ledger.expire(100) == [] and ledger.expire(200) == [key]
 
 
-def count_steps(action: Callable[[], Any]) -> int:
-    """The bytecode instructions and calls of C functions that an action takes: not a matter of time."""
+def count_instructions(action: Callable[[], Any]) -> int:
+    """Return the number of bytecode instructions and C calls of an action, independent of timing."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
@@ -322,14 +331,14 @@
     return count
 
 
-class Stream:
-    """Holders that renew in turn, one in ten with another demand; each wants a budget of its site, too."""
+class RequestStream:
+    """Holders that renew in order, one in ten with a new demand; each also uses its site's budget."""
 
     def __init__(self, holders: int, budgets: int, kind: Callable[..., Any] = Allocator) -> None:
         self.holders, self.budgets = holders, budgets
         self.terms = Terms()
-        wholes = (holders * 20, holders // 2, holders * 100, *[50] * (budgets - 3))
-        self.allocator = kind(EPOCH, wholes, self.terms, -self.terms.lease_us)
+        totals = (holders * 20, holders // 2, holders * 100, *[50] * (budgets - 3))
+        self.allocator = kind(EPOCH, totals, self.terms, -self.terms.lease_us)
         self.zero = (0,) * budgets
         self.held = [self.zero] * holders
         self.demands = [self.demand(n, 0) for n in range(holders)]
@@ -337,15 +346,20 @@
         self.now = 0
 
     def demand(self, holder: int, change: int) -> tuple[int, ...]:
-        """What a holder asks for after so many changes."""
+        """Return a holder's demand after a number of changes."""
         random = Random(holder * 1_000 + change)
-        found = [random.randrange(40), random.randrange(3), random.randrange(200), *[0] * (self.budgets - 3)]
+        amounts = [
+            random.randrange(40),
+            random.randrange(3),
+            random.randrange(200),
+            *[0] * (self.budgets - 3),
+        ]
         if self.budgets > 3:
-            found[3 + holder % (self.budgets - 3)] = random.randrange(20)
-        return tuple(found)
+            amounts[3 + holder % (self.budgets - 3)] = random.randrange(20)
+        return tuple(amounts)
 
     def renew(self) -> LeaseGrant | SubLeaseGrant:
-        """The next request, and the grant to it."""
+        """Send the next request and return its grant."""
         holder = self.sequence % self.holders
         turn = self.sequence // self.holders
         if self.sequence % 10 == turn % 10:
@@ -360,21 +374,23 @@
         self.held[holder] = grant.amounts
         return grant
 
-    def steps_a_request(self, requests: int = 60) -> int:
-        """The mean number of steps of a request, once all holders are known."""
+    def instructions_per_request(self, requests: int = 60) -> int:
+        """Return the mean number of instructions of a request after all holders have been added."""
         for _ in range(self.holders * 2):
             self.renew()
-        return count_steps(lambda: [self.renew() for _ in range(requests)]) // requests
+        return count_instructions(lambda: [self.renew() for _ in range(requests)]) // requests
 
 
 def test_request_cost_is_independent_of_holder_count() -> None:
-    few, many = (Stream(holders, 3).steps_a_request() for holders in (100, 3_000))
-    assert many < few * 1.5
-    # The reference goes through all holders, and the count shows it.
-    few, many = (Stream(holders, 3, ReferenceAllocator).steps_a_request(30) for holders in (100, 300))
-    assert many > few * 1.5
+    small, large = (RequestStream(holders, 3).instructions_per_request() for holders in (100, 3_000))
+    assert large < small * 1.5
+    # The reference iterates over all holders, so its count must grow.
+    small, large = (
+        RequestStream(holders, 3, ReferenceAllocator).instructions_per_request(30) for holders in (100, 300)
+    )
+    assert large > small * 1.5
 
 
 def test_request_cost_is_at_most_linear_in_budget_count() -> None:
-    few, many = (Stream(300, budgets).steps_a_request() for budgets in (23, 143))
-    assert many < few * 143 / 23
+    small, large = (RequestStream(300, budgets).instructions_per_request() for budgets in (23, 143))
+    assert large < small * 143 / 23
