--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -103,9 +103,9 @@
 
     def set_pool(self, pool: Pool) -> None:
         """Set the amounts that both may grant."""
-        for one in (self.allocator, self.reference):
-            one.set_allocatable(pool.allocatable, pool.ceiling)
-            one.expires_by_us = self.now + pool.lease_us if pool.lease_us is not None else None
+        for allocator in (self.allocator, self.reference):
+            allocator.set_allocatable(pool.allocatable, pool.ceiling)
+            allocator.expires_by_us = self.now + pool.lease_us if pool.lease_us is not None else None
 
     def request(self, step: Step) -> LeaseRequest:
         """Return the request of a step."""
--- a/tests/test_hierarchy.py
+++ b/tests/test_hierarchy.py
@@ -1,4 +1,4 @@
-"""Budgets of two levels: the promise in seeded fleets of several regions, and a region that is cut off."""
+"""Tests of two-level budgets: the invariant in simulated fleets of several regions, and a partition."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from lupintack.lab.faults import Fault
 
 HOUR_US = 3600 * SECOND_US
-LONG_TERMS = Terms(  # four times as long as usual: an hour is still over a hundred leases
+LONG_TERMS = Terms(  # four times the defaults; an hour is still more than a hundred leases
     promise_us=12 * SECOND_US,
     lease_us=32 * SECOND_US,
     renew_interval_us=4 * SECOND_US,
@@ -47,7 +47,7 @@
 TERMS = Terms()
 EPOCH = Epoch(1, "a", 1)
 BOUNDS = (RegionBounds("west", (2,), (5,)), RegionBounds("east", (1,), ()))
-KEPT = BudgetState(
+VALID_STATE = BudgetState(
     (10,),
     BOUNDS,
     [RegionAmounts("west", (4, 2)), RegionAmounts("west", (3, 3)), RegionAmounts("east", (6,))],
@@ -57,7 +57,7 @@
 
 
 def test_invariant_holds_up_to_each_bound() -> None:
-    assert not violations(KEPT)
+    assert not violations(VALID_STATE)
     assert not violations(single_level((5, 7), [(2, 7), (3, 0)]))
     assert violations(single_level((5, 7), [(2, 7), (4, 0)])) == [
         Violation(FLEET, "leases of routers", 0, 6, 5)
@@ -65,28 +65,28 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "found"),
+    ("changed", "expected"),
     [
         (
-            replace(KEPT, leases=[*KEPT.leases, RegionAmounts("east", (1,))], bookings=None),
+            replace(VALID_STATE, leases=[*VALID_STATE.leases, RegionAmounts("east", (1,))], bookings=None),
             Violation(FLEET, "leases of routers", 0, 14, 13),
         ),
         (
-            replace(KEPT, parent_leases=[*KEPT.parent_leases, RegionAmounts("east", (6,))]),
+            replace(VALID_STATE, parent_leases=[*VALID_STATE.parent_leases, RegionAmounts("east", (6,))]),
             Violation(FLEET, "parent leases", 0, 11, 10),
         ),
         (
-            replace(KEPT, leases=[*KEPT.leases, RegionAmounts("west", (0, 1))]),
+            replace(VALID_STATE, leases=[*VALID_STATE.leases, RegionAmounts("west", (0, 1))]),
             Violation("west", "leases of its own", 1, 6, 5),
         ),
         (
-            replace(KEPT, bookings=[RegionAmounts("west", (4,)), RegionAmounts("east", (6,))]),
+            replace(VALID_STATE, bookings=[RegionAmounts("west", (4,)), RegionAmounts("east", (6,))]),
             Violation("west", "leases beyond booking", 0, 7, 6),
         ),
     ],
 )
-def test_each_bound_is_checked_independently(changed: BudgetState, found: Violation) -> None:
-    assert violations(changed) == [found]
+def test_each_bound_is_checked_independently(changed: BudgetState, expected: Violation) -> None:
+    assert violations(changed) == [expected]
 
 
 @pytest.mark.parametrize("first", range(0, 8, 2))
@@ -97,16 +97,16 @@
 
 
 def test_region_cut_off_for_an_hour_uses_its_reserve_and_own_budgets() -> None:
-    """All of the reserve but what moves between its routers, and none of what is the other regions'."""
+    """The region uses its reserve, except for units moving between routers, and no units of other regions."""
     cut = Fault(60 * SECOND_US, "region-cut", HOUR_US, ("r1",))
     world = LevelsWorld(5, routers=9, script=[cut], terms=LONG_TERMS)
     result = world.run()
     assert not result.violation_count, result.violations
-    (seen,) = world.cuts
-    assert len(seen.reserve_share) > 10_000  # looks, four a second
-    assert min(seen.reserve_share) >= 0.8 and max(seen.reserve_share) == 1.0
-    assert min(seen.own_share) >= 0.8
-    assert 0 <= seen.recovery_us < 2 * LONG_TERMS.lease_us
+    (cut_region,) = world.cuts
+    assert len(cut_region.reserve_share) > 10_000  # samples, four per second
+    assert min(cut_region.reserve_share) >= 0.8 and max(cut_region.reserve_share) == 1.0
+    assert min(cut_region.own_share) >= 0.8
+    assert 0 <= cut_region.recovery_us < 2 * LONG_TERMS.lease_us
 
 
 def test_same_seed_gives_same_run() -> None:
@@ -114,8 +114,8 @@
 
 
 def test_lab_budgets_command_simulates_regions() -> None:
-    asked = ["lab", "budgets", "--regions", "3", "--routers", "9", "--seeds", "0-1", "--json"]
-    run = CliRunner().invoke(main, asked)
+    arguments = ["lab", "budgets", "--regions", "3", "--routers", "9", "--seeds", "0-1", "--json"]
+    run = CliRunner().invoke(main, arguments)
     assert run.exit_code == 0, run.output
     assert json.loads(run.output)["oversum"] == 0
     run = CliRunner().invoke(main, ["lab", "budgets", "--regions", "9", "--routers", "9", "--json"])
@@ -123,17 +123,17 @@
 
 
 def test_new_tenure_without_parent_lease_does_not_reduce_holders_lease() -> None:
-    """A grant of nothing would take from a router what it has of the older tenure."""
+    """A zero grant would revoke a router's lease from the older tenure."""
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     allocator.set_allocatable((10,), (0,))
     assert allocator.handle_request(LeaseRequest("h", 1, 1, EPOCH, (9,), (6,)), 1) is None
     assert allocator.total_demand() == (9,) and allocator.allocated() == (6,)
     allocator.set_allocatable((10,), (4,))
-    later = TERMS.lease_us // 4  # there may be no more than this: part of a lease is better than its end
-    given = allocator.handle_request(LeaseRequest("h", 1, 2, EPOCH, (9,), (6,)), later)
-    assert given is not None and given.amounts == (4,)
-    given = allocator.handle_request(LeaseRequest("i", 1, 1, EPOCH, (9,), (0,)), 2)
-    assert given is not None and given.amounts == (0,)  # it has nothing to lose
+    later = TERMS.lease_us // 4  # after this wait, a smaller grant is better than letting the lease expire
+    grant = allocator.handle_request(LeaseRequest("h", 1, 2, EPOCH, (9,), (6,)), later)
+    assert grant is not None and grant.amounts == (4,)
+    grant = allocator.handle_request(LeaseRequest("i", 1, 1, EPOCH, (9,), (0,)), 2)
+    assert grant is not None and grant.amounts == (0,)  # it has no older lease to keep
 
 
 def test_new_regional_allocator_replaces_old_one_in_shares() -> None:
@@ -143,48 +143,50 @@
     for name in ("west", "east"):
         allocator.handle_request(LeaseRequest(name, 1, 1, EPOCH, (20,), (0,)), now)
     now += TERMS.share_interval_us
-    given = allocator.handle_request(LeaseRequest("east", 1, 2, EPOCH, (20,), (0,)), now)
-    assert given is not None and given.amounts == (0,)  # west was first, and has all of it
-    given = allocator.handle_request(LeaseRequest("west", 2, 1, EPOCH, (20,), (0,)), now + 1)
-    assert given is not None and given.amounts == (6,)  # not 4 beside a share for the older one
+    grant = allocator.handle_request(LeaseRequest("east", 1, 2, EPOCH, (20,), (0,)), now)
+    assert grant is not None and grant.amounts == (0,)  # west was first and holds all units
+    grant = allocator.handle_request(LeaseRequest("west", 2, 1, EPOCH, (20,), (0,)), now + 1)
+    assert grant is not None and grant.amounts == (6,)  # not 4: the older holder has no share
 
 
 def test_routers_keep_leases_while_regional_allocator_changes() -> None:
-    """One of 18 routers was killed. Another may not have asked in time, as with one level."""
-    lowest = []
+    """One of 18 routers is killed. Another may not have renewed in time, as with one level."""
+    lowest_shares = []
     for seed in range(4):
         killed = Fault(31 * SECOND_US, "region-allocator", 0, ("r1",))
         result = LevelsWorld(seed, script=[killed], moving=False).run()
         assert not result.violation_count, result.violations
-        lowest.append(min(result.leased_shares[(28 * SECOND_US - START_US) // SAMPLE_INTERVAL_US :]))
-    assert min(lowest) > 0.75 and sum(lowest) / len(lowest) > 0.85
+        lowest_shares.append(min(result.leased_shares[(28 * SECOND_US - START_US) // SAMPLE_INTERVAL_US :]))
+    assert min(lowest_shares) > 0.75 and sum(lowest_shares) / len(lowest_shares) > 0.85
 
 
 def test_request_waiting_for_parent_lease_is_answered_after_its_grant() -> None:
-    """Its sender would ask again only after a while, and might lose its lease till then."""
+    """Its sender would retry only after a delay, and its lease might expire before."""
     allocator = Allocator(EPOCH, (10,), TERMS, 0)
     allocator.set_allocatable((10,), (0,))
     request = LeaseRequest("h", 1, 1, EPOCH, (9,), (6,))
     assert allocator.handle_request(request, 1) is None and allocator.left_unanswered(request)
     allocator.set_allocatable((10,), (8,))
-    given = allocator.handle_request(request, 2)
-    assert given is not None and given.amounts == (6,) and not allocator.left_unanswered(request)
-    assert allocator.handle_request(request, 3) == given  # a repeat is the same
+    grant = allocator.handle_request(request, 2)
+    assert grant is not None and grant.amounts == (6,) and not allocator.left_unanswered(request)
+    assert allocator.handle_request(request, 3) == grant  # a repeated request gets the same grant
 
 
-@pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if not flaw.steps])
+@pytest.mark.parametrize("name", [name for name, bug in PLANTED_LEVEL_BUGS.items() if not bug.steps])
 def test_planted_two_level_bug_is_detected_by_seeds(name: str) -> None:
     assert find_level_bug_by_seeds(name, 20) is not None
 
 
-@pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if flaw.steps])
+@pytest.mark.parametrize("name", [name for name, bug in PLANTED_LEVEL_BUGS.items() if bug.steps])
 def test_planted_bug_rarely_shown_by_seeds_is_detected_by_its_script(name: str) -> None:
     assert find_level_bug_by_script(name)
-    clean = budget_level_check.replay(PLANTED_LEVEL_BUGS[name].steps, budget_level_check.clock_rates()[0])
-    assert not any(clean)
+    violations_without_bug = budget_level_check.replay(
+        PLANTED_LEVEL_BUGS[name].steps, budget_level_check.clock_rates()[0]
+    )
+    assert not any(violations_without_bug)
 
 
-@pytest.mark.parametrize("name", [name for name, flaw in PLANTED_LEVEL_BUGS.items() if flaw.level_bounds])
+@pytest.mark.parametrize("name", [name for name, bug in PLANTED_LEVEL_BUGS.items() if bug.level_bounds])
 def test_two_level_model_check_finds_planted_bug(name: str) -> None:
     script, _ = find_level_bug_by_search(name)
     assert script
@@ -192,13 +194,13 @@
 
 def test_two_level_model_check_finds_no_violation() -> None:
     for rates in (budget_level_check.clock_rates()[0], budget_level_check.clock_rates()[2]):
-        found = budget_level_check.search(budget_level_check.LevelBounds(max_depth=4), rates)
-        assert not found.script and found.is_complete and found.states > 1000
+        result = budget_level_check.search(budget_level_check.LevelBounds(max_depth=4), rates)
+        assert not result.script and result.is_complete and result.states > 1000
 
 
 def test_lab_commands_check_two_levels_and_plant_bug() -> None:
-    asked = ["lab", "check", "budgets", "--levels", "2", "--depth", "2", "--json"]
-    run = CliRunner().invoke(main, asked)
+    arguments = ["lab", "check", "budgets", "--levels", "2", "--depth", "2", "--json"]
+    run = CliRunner().invoke(main, arguments)
     assert run.exit_code == 0, run.output
     assert json.loads(run.output)["oversum"] is False and json.loads(run.output)["states"] > 100
     run = CliRunner().invoke(main, ["lab", "plant", "older-parent-epoch", "--json"])
@@ -212,12 +214,12 @@
     node.set_demand((10,))
     for now in range(0, 30 * SECOND_US, 50_000):
         node.tick(now)
-    settled = node.fleet.holder.sequence
+    settled_requests = node.fleet.holder.sequence
     for now in range(30 * SECOND_US, 40 * SECOND_US, 50_000):
         node.tick(now)
-    calm = node.fleet.holder.sequence
+    calm_requests = node.fleet.holder.sequence
     node.set_demand((1000,))
     for now in range(40 * SECOND_US, 50 * SECOND_US, 50_000):
         node.tick(now)
-    assert node.leased_amounts(50 * SECOND_US) == (99,)  # all but the name's reservation
-    assert calm - settled <= 10 < 18 <= node.fleet.holder.sequence - calm
+    assert node.leased_amounts(50 * SECOND_US) == (99,)  # all units but the name's reservation
+    assert calm_requests - settled_requests <= 10 < 18 <= node.fleet.holder.sequence - calm_requests
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""What the module does with leases of the fleet's budgets, as a sum; and with one that has run out."""
+"""Tests of the decision module's use of budget leases: sums over all routers, and expired leases."""
 
 from __future__ import annotations
 
@@ -28,71 +28,75 @@
 
 @pytest.mark.parametrize("number", [h.CACHES[0], h.PARENTS[0]])
 @hyp(max_examples=15, deadline=None)
-@given(slots=st.lists(st.integers(0, 8), min_size=1, max_size=8).filter(lambda found: sum(found) <= 8))
+@given(slots=st.lists(st.integers(0, 8), min_size=1, max_size=8).filter(lambda slots: sum(slots) <= 8))
 def test_leased_shares_never_exceed_cold_members_budget(number: int, slots: list[int]) -> None:
-    """Whatever the settings say of how many routers there are; and a process without a slot sends nothing."""
-    told: dict[str, Any] = {"router_count": 3, "routers_by_zone": (2, 0, 0), "router_index": 0}
-    whole = cold(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
-    bound = spent([whole], number, whole.settings)
-    routers = [cold(number, **told, warming_cache_share=n / 8, warming_parent_share=n / 8) for n in slots]
+    """Holds for any configured number of routers; a process without a slot sends nothing."""
+    changes: dict[str, Any] = {"router_count": 3, "routers_by_zone": (2, 0, 0), "router_index": 0}
+    single_router = cold(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
+    bound = spent([single_router], number, single_router.settings)
+    routers = [cold(number, **changes, warming_cache_share=n / 8, warming_parent_share=n / 8) for n in slots]
     assert spent(routers, number, routers[0].settings) <= bound * 1.001
-    for made, n in zip(routers, slots, strict=True):
-        assert (spent([made], number, made.settings) > 0.0) == (n > 0)
+    for router, n in zip(routers, slots, strict=True):
+        assert (spent([router], number, router.settings) > 0.0) == (n > 0)
 
 
 def test_lost_slot_discards_accumulated_units() -> None:
-    made = cold(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
-    peer, known = made.endpoints.by_id[h.PARENTS[0]], made.settings
-    assert peer.slow_start.refill(WARM_AT + 500.0, known.overload_window_ms, 1, 1.0) > 0.0
-    assert peer.slow_start.refill(WARM_AT + 501.0, known.overload_window_ms, 1, 0.0) == 0.0
-    assert peer.slow_start.refill(WARM_AT + 501.0, known.overload_window_ms, 1, 1.0) == 0.0
+    router = cold(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
+    endpoint, settings = router.endpoints.by_id[h.PARENTS[0]], router.settings
+    assert endpoint.slow_start.refill(WARM_AT + 500.0, settings.overload_window_ms, 1, 1.0) > 0.0
+    assert endpoint.slow_start.refill(WARM_AT + 501.0, settings.overload_window_ms, 1, 0.0) == 0.0
+    assert endpoint.slow_start.refill(WARM_AT + 501.0, settings.overload_window_ms, 1, 1.0) == 0.0
 
 
-def origin_only(**told: Any) -> Any:
-    """A router whose parents are gone: every fill names the origin."""
-    made = h.router(**told)
-    made.handle(0.0, [h.delta(*(h.member(n, i.MemberState.REMOVED) for n in h.PARENTS))])
-    return made
+def origin_only(**changes: Any) -> Any:
+    """Return a router whose parents are removed, so that every fill has the origin as its source."""
+    router = h.router(**changes)
+    router.handle(0.0, [h.delta(*(h.member(n, i.MemberState.REMOVED) for n in h.PARENTS))])
+    return router
 
 
 def test_origin_fills_are_limited_by_lease_and_excess_is_rejected_immediately() -> None:
-    made = origin_only(max_origin_fills=2)
-    seen = []
+    router = origin_only(max_origin_fills=2)
+    fetches = []
     for n in range(4):
-        seen += h.fetches(made.handle(1.0 + n, [h.ask(n, 100 + n, now=1.0 + n)]))
-    named = [one for one in seen if h.ORIGIN in (one.source, one.member)]
-    held = [one for one in seen if one not in named]
-    assert (len(named), len(held)) == (2, 2), "the others ask for what their cache holds"
-    refused = h.finals(made.handle(9.0, [h.ended(held[0], i.Outcome.MISS)]))
-    assert [isinstance(one, i.Reject) and one.retry_after_ms > 0 for one in refused] == [True]
-    made.handle(10.0, [h.ended(named[0], i.Outcome.OK, is_final=True)])
-    (again,) = h.fetches(made.handle(11.0, [h.ask(9, 900, now=11.0)]))
-    assert again.source == h.ORIGIN
-    assert made.origin_fills.demand(11.0) > 2.9
+        fetches += h.fetches(router.handle(1.0 + n, [h.ask(n, 100 + n, now=1.0 + n)]))
+    origin_fetches = [fetch for fetch in fetches if h.ORIGIN in (fetch.source, fetch.member)]
+    cache_fetches = [fetch for fetch in fetches if fetch not in origin_fetches]
+    assert (len(origin_fetches), len(cache_fetches)) == (2, 2), "the others request only cached copies"
+    rejections = h.finals(router.handle(9.0, [h.ended(cache_fetches[0], i.Outcome.MISS)]))
+    assert [isinstance(action, i.Reject) and action.retry_after_ms > 0 for action in rejections] == [True]
+    router.handle(10.0, [h.ended(origin_fetches[0], i.Outcome.OK, is_final=True)])
+    (next_fetch,) = h.fetches(router.handle(11.0, [h.ask(9, 900, now=11.0)]))
+    assert next_fetch.source == h.ORIGIN
+    assert router.origin_fills.demand(11.0) > 2.9
 
 
 def test_write_does_not_count_as_origin_fill() -> None:
-    made = origin_only(max_origin_fills=0)
-    actions = made.handle(1.0, [h.ask(1, 7, cls=h.UNSAFE, now=1.0)])
+    router = origin_only(max_origin_fills=0)
+    actions = router.handle(1.0, [h.ask(1, 7, cls=h.UNSAFE, now=1.0)])
     assert [a.member for a in actions if isinstance(a, i.Fetch)]
 
 
 @given(
-    whole=st.floats(0.01, 100.0), routers=st.integers(1, 300), processes=st.integers(1, 2),
+    total=st.floats(0.01, 100.0), routers=st.integers(1, 300), processes=st.integers(1, 2),
 )  # fmt: skip
-def test_quotas_by_router_count_sum_to_at_most_total(whole: float, routers: int, processes: int) -> None:
-    found = [quota(whole, routers, processes, -1.0) for _ in range(routers)]
-    assert sum(found) * processes <= whole * (1 + 1e-9)
+def test_quotas_by_router_count_sum_to_at_most_total(total: float, routers: int, processes: int) -> None:
+    quotas = [quota(total, routers, processes, -1.0) for _ in range(routers)]
+    assert sum(quotas) * processes <= total * (1 + 1e-9)
 
 
 def test_demand_decays_and_includes_denied_fills() -> None:
-    one, store = Demand(), OriginFillLimit()
+    recent_demand, origin_limit = Demand(), OriginFillLimit()
     for n in range(100):
-        one.add(10.0, n * 10.0)  # 10 ms of sending each 10 ms: a rate of one
-    assert 0.3 < one.share(1.0, 1000.0) < 1.0 and one.share(1.0, 60_000.0) < 1e-6
-    assert [store.acquire(1, 0.0), store.acquire(1, 1.0), store.demand(1.0)] == [True, False, 2.0]
-    store.release(True)
-    assert store.demand(60_000.0) < 0.01
+        recent_demand.add(10.0, n * 10.0)  # 10 ms of sending every 10 ms: a rate of 1
+    assert 0.3 < recent_demand.share(1.0, 1000.0) < 1.0 and recent_demand.share(1.0, 60_000.0) < 1e-6
+    assert [origin_limit.acquire(1, 0.0), origin_limit.acquire(1, 1.0), origin_limit.demand(1.0)] == [
+        True,
+        False,
+        2.0,
+    ]
+    origin_limit.release(True)
+    assert origin_limit.demand(60_000.0) < 0.01
 
 
 BUDGETS = (
@@ -105,43 +109,45 @@
 
 
 def test_leases_and_demand_are_mapped_by_budget_name() -> None:
-    found = core_leases(BUDGETS, (2, 8, 1, 9, 7), 99, "east")
-    assert found == Leases(0.25, 0.25, 7, 99)
+    leases = core_leases(BUDGETS, (2, 8, 1, 9, 7), 99, "east")
+    assert leases == Leases(0.25, 0.25, 7, 99)
     assert core_leases((), (), 0, "east") == Leases(-1.0, -1.0, -1, 0)
-    report_demand = MeasuredDemand(warming_cache_share=0.3, warming_parent_share=5.0, origin_fills=10.0)
-    assert demand(BUDGETS, report_demand, (0, 0, 0, 0, 0), "east") == (3, 0, 4, 9, 13)
+    measured = MeasuredDemand(warming_cache_share=0.3, warming_parent_share=5.0, origin_fills=10.0)
+    assert demand(BUDGETS, measured, (0, 0, 0, 0, 0), "east") == (3, 0, 4, 9, 13)
     assert in_use(BUDGETS, MeasuredDemand(0.0, 0.0, 9.0, 4)) == (0, 0, 0, 0, 4)
-    down = demand(BUDGETS, MeasuredDemand(0.0, 0.0, 0.0), (8, 0, 4, 9, 40), "east")
-    assert down == (7, 0, 3, 9, 35), "down by and by"
+    reduced = demand(BUDGETS, MeasuredDemand(0.0, 0.0, 0.0), (8, 0, 4, 9, 40), "east")
+    assert reduced == (7, 0, 3, 9, 35), "demand decreases gradually"
 
 
-def hosted(link: Any) -> Core:
-    """A core before one cache and an origin, which hears leases as a fleet would tell them."""
+def core_with_link(link: Any) -> Core:
+    """Return a core with one cache and an origin; tests send it leases as the fleet module would."""
     member_table = MemberTable(6000.0)
     core = Core(h.settings(), 7, member_table, lambda number, host: link)
     member_table.notify = core.on_endpoints_changed
-    at = ("127.0.0.1", 9)
-    hosts = (Endpoint("s-1", at, 0, 0), Endpoint("origin", at, 0, 2))
+    address = ("127.0.0.1", 9)
+    hosts = (Endpoint("s-1", address, 0, 0), Endpoint("origin", address, 0, 2))
     member_table.receive(ListUpdate(True, hosts))
     return core
 
 
 def test_attempt_is_obsolete_after_its_lease_expires() -> None:
     link = unittest.mock.Mock()
-    told: list[MeasuredDemand] = []
-    core = hosted(link)
+    reported_demands: list[MeasuredDemand] = []
+    core = core_with_link(link)
     until = now_us() + 60_000_000
     core.enqueue(
-        SettingsUpdate(leases=Leases(max_origin_fills=5, valid_until_us=until), report_demand=told.append)
+        SettingsUpdate(
+            leases=Leases(max_origin_fills=5, valid_until_us=until), report_demand=reported_demands.append
+        )
     )
-    assert core.router.settings.max_origin_fills == 5 and told == [MeasuredDemand(0.0, 0.0, 0.0)]
-    sink = unittest.mock.Mock(is_disconnected=lambda: False)
+    assert core.router.settings.max_origin_fills == 5 and reported_demands == [MeasuredDemand(0.0, 0.0, 0.0)]
+    client_sink = unittest.mock.Mock(is_disconnected=lambda: False)
     core.submit(
-        ClientRequest("0" * 16, h.SAFE, "0" * 16, 5, 0, 0, now_us() + 10_000_000, sink, class_name="a")
+        ClientRequest("0" * 16, h.SAFE, "0" * 16, 5, 0, 0, now_us() + 10_000_000, client_sink, class_name="a")
     )
-    (order,) = [call.args[0] for call in link.send.call_args_list]
-    assert order.source == member_id("origin") and order.not_after_us == until
-    assert not order.is_obsolete(until - 1) and order.is_obsolete(until)
+    (attempt,) = [call.args[0] for call in link.send.call_args_list]
+    assert attempt.source == member_id("origin") and attempt.not_after_us == until
+    assert not attempt.is_obsolete(until - 1) and attempt.is_obsolete(until)
     core.enqueue(SettingsUpdate(leases=Leases(max_origin_fills=0, valid_until_us=0)))
     assert (
         core.router.settings.max_origin_fills == 0
