--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -1,4 +1,4 @@
-"""Router processes that divide budgets through a switch: the allocator killed, paused, cut off."""
+"""Tests of router processes that allocate budgets: the allocator is killed, paused or cut off."""
 
 from __future__ import annotations
 
@@ -31,15 +31,16 @@
 from lupintack.membership.messages import MessageCodec
 from lupintack.standins.routers import Routers
 
-WHOLE = 1000
+TOTAL_UNITS = 1000
 TABLE = {
-    "enabled": True, "voters": ["n0", "n1", "n2"], "per_second": {"fills": WHOLE}, "at_once": {"probes": 40},
+    "enabled": True, "voters": ["n0", "n1", "n2"], "per_second": {"fills": TOTAL_UNITS},
+    "at_once": {"probes": 40},
     "floor_percent": 10, "promise_ms": 600, "lease_ms": 1600,
 }  # fmt: skip
 
 
 class LeaseRecorder:
-    """Every lease that any process held, from what they tell of themselves; all share one machine's clock."""
+    """Records every lease of any process from the processes' status; all use the same machine's clock."""
 
     def __init__(self, routers: Routers) -> None:
         self.routers = routers
@@ -49,11 +50,11 @@
 
     def sample(self) -> None:
         for name in self.routers.running:
-            told = self.routers.status(name).get("budgets") if name not in self.routers.paused else None
-            if told is not None:
-                self.statuses[name] = told
-                held = self.leases.setdefault((name, told["start"]), {})
-                held.update({taken: (ends, tuple(amounts)) for taken, ends, amounts in told["leases"]})
+            status = self.routers.status(name).get("budgets") if name not in self.routers.paused else None
+            if status is not None:
+                self.statuses[name] = status
+                leases = self.leases.setdefault((name, status["start"]), {})
+                leases.update({start: (end, tuple(amounts)) for start, end, amounts in status["leases"]})
 
     def kill(self, name: str) -> None:
         self.sample()
@@ -61,52 +62,52 @@
         self.ended_us[name, self.statuses.pop(name)["start"]] = time.monotonic_ns() // 1000
 
     def allocator(self) -> str:
-        """Who divides and is past its wait; "" for nobody."""
+        """Return the running allocator that has waited for older leases to expire, or ""."""
         self.sample()
         running = [n for n in self.routers.running if n not in self.routers.paused]
         return next((n for n in running if self.statuses.get(n, {}).get("ready")), "")
 
     def leased_share(self, n: int = 0) -> float:
-        """What all of them hold now, of what is divided."""
+        """Return the leased part of the allocatable units now."""
         self.sample()
-        held = sum(
+        leased = sum(
             self.statuses[name]["budgets"][n]["lease"]
             for name in self.routers.running
             if name in self.statuses
         )
-        told = self.statuses[next(iter(self.statuses))]["budgets"][n]
-        return float(held / (told["whole"] - 3 * told["floor"]))
+        status = self.statuses[next(iter(self.statuses))]["budgets"][n]
+        return float(leased / (status["whole"] - 3 * status["floor"]))
 
     def peak_sum(self, n: int = 0, names: Collection[str] | None = None) -> int:
-        """The highest sum of all leases, or of those of some routers, at any instant."""
+        """Return the highest sum of all leases, or of those of some routers, at any instant."""
         steps: list[tuple[int, int]] = []
-        for key, told in self.leases.items():
+        for key, leases in self.leases.items():
             if names is not None and key[0] not in names:
                 continue
-            taken = sorted(told)
-            for at, after in zip(taken, [*taken[1:], 1 << 62], strict=True):
-                ends, amounts = told[at]
-                ends = min(ends, after, self.ended_us.get(key, 1 << 62))
-                if ends > at:
-                    steps += [(at, amounts[n]), (ends, -amounts[n])]
-        level = most = 0
-        for _, step in sorted(steps):
-            level += step
-            most = max(most, level)
-        return most
+            starts = sorted(leases)
+            for start, next_start in zip(starts, [*starts[1:], 1 << 62], strict=True):
+                end, amounts = leases[start]
+                end = min(end, next_start, self.ended_us.get(key, 1 << 62))
+                if end > start:
+                    steps += [(start, amounts[n]), (end, -amounts[n])]
+        current_sum = peak = 0
+        for _, change in sorted(steps):
+            current_sum += change
+            peak = max(peak, current_sum)
+        return peak
 
 
 @contextmanager
-def running_routers(tmp: Path, count: int = 6) -> Iterator[tuple[Routers, LeaseRecorder]]:
-    """All started; one divides."""
-    routers = Routers(tmp, count, tables=lambda name: {"budgets": TABLE})
+def running_routers(folder: Path, count: int = 6) -> Iterator[tuple[Routers, LeaseRecorder]]:
+    """Start all routers and wait until an allocator has leased all units."""
+    routers = Routers(folder, count, tables=lambda name: {"budgets": TABLE})
     try:
         routers.start()
         recorder = LeaseRecorder(routers)
         routers.until(
             lambda: bool(recorder.allocator()) and recorder.leased_share() > 0.99,
             20.0,
-            "the whole is divided",
+            "all units are leased",
         )
         yield routers, recorder
     finally:
@@ -117,59 +118,57 @@
     with running_routers(tmp_path) as (routers, recorder):
         first = recorder.allocator()
         recorder.kill(first)
-        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another divides")
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "also what the dead one had")
+        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another allocator")
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the killed router's units are leased")
         routers.launch(first)
         second = recorder.allocator()
         routers.pause([second])
-        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third divides")
+        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third allocator")
         routers.resume([second])
-        routers.until(
-            lambda: recorder.leased_share() > 0.99, 20.0, "the one that was paused has a part again"
-        )
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the paused router has a lease again")
         third = recorder.allocator()
-        others = [name for name in routers.names if name != third]
-        routers.switch.split([third], others)
-        routers.until(lambda: recorder.allocator() not in ("", third), 20.0, "the larger part divides")
+        other_routers = [name for name in routers.names if name != third]
+        routers.switch.split([third], other_routers)
+        routers.until(lambda: recorder.allocator() not in ("", third), 20.0, "an allocator in the majority")
         routers.until(
-            lambda: recorder.statuses[third]["lease_ends_ms"] == 0, 20.0, "the one cut off has no lease"
+            lambda: recorder.statuses[third]["lease_ends_ms"] == 0, 20.0, "the router cut off has no lease"
         )
         routers.switch.heal()
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "all have parts again")
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "all routers have leases again")
         assert not [name for name in routers.names if "Traceback" in routers.log(name)]
-        rest = [one["whole"] - 3 * one["floor"] for one in recorder.statuses[routers.names[0]]["budgets"]]
-        assert rest[0] == WHOLE - 3 * 33
-        assert 0 < recorder.peak_sum(0) <= rest[0] and 0 < recorder.peak_sum(1) <= rest[1]
+        leasable = [row["whole"] - 3 * row["floor"] for row in recorder.statuses[routers.names[0]]["budgets"]]
+        assert leasable[0] == TOTAL_UNITS - 3 * 33
+        assert 0 < recorder.peak_sum(0) <= leasable[0] and 0 < recorder.peak_sum(1) <= leasable[1]
 
 
 def test_fleet_budgets_command_shows_leases_of_one_router(tmp_path: Path) -> None:
     with running_routers(tmp_path, 3) as (routers, recorder):
         admin = f"127.0.0.1:{routers.admin['n1']}"
-        run = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin, "--json"])
-        assert run.exit_code == 0, run.output
-        told = json.loads(run.output)
-        assert [one["name"] for one in told["budgets"]] == ["fills", "probes"]
-        page = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
-        assert page.exit_code == 0 and f"{recorder.allocator()} divides, epoch" in page.output
+        result = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin, "--json"])
+        assert result.exit_code == 0, result.output
+        status = json.loads(result.output)
+        assert [row["name"] for row in status["budgets"]] == ["fills", "probes"]
+        text_result = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
+        assert text_result.exit_code == 0 and f"{recorder.allocator()} divides, epoch" in text_result.output
         routers.term("n0")
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "what it gave back is divided")
+        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the released units are leased again")
 
 
-def part(tmp: Path, sent: list[Any]) -> BudgetService:
-    """One process's part, of a name that votes."""
+def make_service(folder: Path, sent: list[Any]) -> BudgetService:
+    """Return the budget service of one process whose name is a voter."""
     return BudgetService(
-        "v", len(sent) + 1, "f", str(tmp), [budget("fills", 100, False, 100)], ["v", "a", "b"], ["v"],
-        Terms(), MessageCodec("f", "s"), lambda to, told, raw: sent.append((to, raw)), "",
+        "v", len(sent) + 1, "f", str(folder), [budget("fills", 100, False, 100)], ["v", "a", "b"], ["v"],
+        Terms(), MessageCodec("f", "s"), lambda to, address, raw: sent.append((to, raw)), "",
     )  # fmt: skip
 
 
 def test_units_covered_by_reservation_are_not_reported_in_use(tmp_path: Path) -> None:
-    """Three voters at their floors and leases, and three units of nine were given to nobody for good."""
+    """With three voters using their reservations and leases, 3 of 9 units were never granted again."""
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
-        first, second = part(tmp_path, []), part(tmp_path, [])
-        for one in (first, second):
-            one.set_demand((50,), (14,))
-            one.call(one.node.tick)
+        first, second = make_service(tmp_path, []), make_service(tmp_path, [])
+        for service in (first, second):
+            service.set_demand((50,), (14,))
+            service.call(service.node.tick)
         assert first.name_reservations == (10,) and (
             first.levels.holding.in_use,
             second.levels.holding.in_use,
@@ -182,14 +181,14 @@
 
 
 def test_only_one_of_two_processes_of_a_name_votes_and_has_reservation(tmp_path: Path) -> None:
-    """Each gave the name's word by itself: an upgrade could make two majorities."""
+    """If both processes voted, an upgrade could produce two majorities."""
     epoch, other = Epoch(1, "a", 1), Epoch(1, "b", 1)
     codec = BudgetCodec(MessageCodec("f", "s"), 1)
     sent: list[list[Any]] = [[], []]
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
-        old, new = part(tmp_path, sent[0]), part(tmp_path, sent[1])
-        for one in (old, new):
-            one.call(one.node.tick)
+        old, new = make_service(tmp_path, sent[0]), make_service(tmp_path, sent[1])
+        for service in (old, new):
+            service.call(service.node.tick)
         assert old.levels.holding.voter is not None and new.levels.holding.voter is None
         assert old.status()["budgets"][0]["floor"] == 10 and new.status()["budgets"][0]["floor"] == 0
         old.levels.holding.voter.abstain_until_us = 0
@@ -201,15 +200,15 @@
         new.call(new.node.tick)
         assert new.status()["votes_for"] == list(epoch) and new.status()["budgets"][0]["floor"] == 10
         new.close()
-    nowhere = BudgetService(
-        "v", 1, "f", "", [], ["v"], ["v"], Terms(), MessageCodec("f", "s"), lambda to, told, raw: None, ""
+    without_folder = BudgetService(
+        "v", 1, "f", "", [], ["v"], ["v"], Terms(), MessageCodec("f", "s"), lambda to, address, raw: None, ""
     )
-    nowhere.call(nowhere.node.tick)
-    assert nowhere.levels.holding.voter is None
+    without_folder.call(without_folder.node.tick)
+    assert without_folder.levels.holding.voter is None
 
 
 @pytest.mark.parametrize(
-    ("table", "wrong"),
+    ("table", "expected_error"),
     [
         ({"enabled": True}, "[membership] is wanted"),
         ({"enabled": True, "voters": ["a", "b"]}, "voters: an odd number"),
@@ -217,18 +216,18 @@
         ({"enabled": True, "voters": ["a"], "at_once": {f"x{n}": 1 << 40 for n in range(40)}}, "a datagram"),
     ],
 )
-def test_invalid_budgets_table_is_reported_with_key(table: dict[str, Any], wrong: str) -> None:
+def test_invalid_budgets_table_is_reported_with_key(table: dict[str, Any], expected_error: str) -> None:
     from lupintack.operator import parse
     from lupintack.settings.errors import ConfigError
 
-    more: dict[str, Any] = {"membership": {"enabled": len(table) > 1, "secret": "s"}}
+    membership: dict[str, Any] = {"membership": {"enabled": len(table) > 1, "secret": "s"}}
     with pytest.raises(ConfigError) as error:
-        parse({"budgets": table, **more}, "operator.toml")
-    assert wrong in str(error.value) and "operator.toml" in str(error.value)
+        parse({"budgets": table, **membership}, "operator.toml")
+    assert expected_error in str(error.value) and "operator.toml" in str(error.value)
 
 
 TENURE = Epoch(7, "n1", 1234567890123456)
-ENVELOPE = "94a26e30ae3132372e302e302e313a39303932"  # of n0 at 127.0.0.1:9092
+ENVELOPE_BYTES = "94a26e30ae3132372e302e302e313a39303932"  # sender n0 at 127.0.0.1:9092
 EPOCH_BYTES = "9307a26e31cf000462d53c8abac0"
 
 
@@ -258,8 +257,8 @@
     ],
 )
 def test_version_1_encoding_is_unchanged(message: Message, code: str, body: str) -> None:
-    """As commit 5c0df44 worded them: the magic, the version, the keyed code, the envelope, the message."""
+    """As encoded by commit 5c0df44: magic, version, authentication code, envelope, message."""
     codec = BudgetCodec(MessageCodec("f", "s"), 2)
     raw = codec.encode("n0", "127.0.0.1:9092", message)
-    assert raw.hex() == f"4201{code}{ENVELOPE}{body}"
+    assert raw.hex() == f"4201{code}{ENVELOPE_BYTES}{body}"
     assert codec.decode(raw) == ("n0", "127.0.0.1:9092", message)
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -1,4 +1,4 @@
-"""Budgets of two levels on sockets: the operator file's regions, the wire, the files, and the processes."""
+"""Tests of two-level budgets: the operator file's regions, datagrams, vote files and router processes."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
 
 
 def operator_file(budgets: dict[str, Any]) -> Operator:
-    """The file with this table of budgets."""
+    """Return the parsed operator file with a `budgets` table."""
     return parse({"membership": {"enabled": True, "secret": "s"}, "budgets": budgets}, "operator.toml")
 
 
 def region_plan(name: str, site: str, budgets: dict[str, Any] = TABLE) -> RegionPlan:
-    """What a router of this name and site goes by."""
+    """Return the plan of the router with this name and site."""
     plan = plan_for(operator_file(budgets).budgets, name, site)
     assert plan is not None
     return plan
@@ -72,14 +72,14 @@
 
 def test_router_uses_plan_of_its_sites_region() -> None:
     east, west = region_plan("a", "s0"), region_plan("d", "s2")
-    assert [one.name for one in east.budgets] == ["fills", "cold-caches.s1"]
-    assert [one.name for one in west.budgets] == ["fills", "cold-caches.s2"]
+    assert [budget.name for budget in east.budgets] == ["fills", "cold-caches.s1"]
+    assert [budget.name for budget in west.budgets] == ["fills", "cold-caches.s2"]
     assert east.name_reservations == (1, 2) and west.name_reservations == (5, 0)
     assert plan_for(Budgets(voters=("a",), at_once={"fills": 9}), "a", "anywhere") is None
 
 
 @pytest.mark.parametrize(
-    ("changes", "wrong"),
+    ("changes", "expected_error"),
     [
         ({"voters": ["a", "b"]}, "[budgets.regions.east] voters: an odd number"),
         ({"voters": ["a", "b", "a"]}, "[budgets.regions.east] voters: an odd number"),
@@ -90,15 +90,19 @@
         ({"zones": 1}, "[budgets.regions[...]] zones"),
     ],
 )
-def test_invalid_region_is_reported_with_key(changes: dict[str, Any], wrong: str) -> None:
+def test_invalid_region_is_reported_with_key(changes: dict[str, Any], expected_error: str) -> None:
     regions = REGIONS | {"east": REGIONS["east"] | changes}
     with pytest.raises(ConfigError) as error:
         operator_file(TABLE | {"regions": regions})
-    assert wrong in str(error.value) and "operator.toml" in str(error.value) and "\n" not in str(error.value)
+    assert (
+        expected_error in str(error.value)
+        and "operator.toml" in str(error.value)
+        and "\n" not in str(error.value)
+    )
 
 
 @pytest.mark.parametrize(
-    ("changes", "wrong"),
+    ("changes", "expected_error"),
     [
         ({"names": ["a"]}, "[budgets] names: with regions"),
         ({"at_once": {f"b{n}": 5 for n in range(40)}}, "[budgets.regions]: a request could take"),
@@ -110,10 +114,16 @@
         ({"regions": {"": REGIONS["east"]}}, "a region's name is wanted"),
     ],
 )
-def test_invalid_table_with_regions_is_reported_with_key(changes: dict[str, Any], wrong: str) -> None:
+def test_invalid_table_with_regions_is_reported_with_key(
+    changes: dict[str, Any], expected_error: str
+) -> None:
     with pytest.raises(ConfigError) as error:
         operator_file(TABLE | changes)
-    assert wrong in str(error.value) and "operator.toml" in str(error.value) and "\n" not in str(error.value)
+    assert (
+        expected_error in str(error.value)
+        and "operator.toml" in str(error.value)
+        and "\n" not in str(error.value)
+    )
 
 
 def test_router_outside_its_region_is_rejected() -> None:
@@ -132,7 +142,7 @@
     assert plan.fleet_wide == 3 and len(plan.budgets) in (8, 9)
 
 
-# The wire
+# The datagrams
 
 MESSAGES: tuple[Message, ...] = (
     VoteRequest(EPOCH, 3), VoteReply("v", EPOCH, 3, True, 9), VoteRelease(EPOCH),
@@ -151,48 +161,54 @@
     codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 2, 2)
     raw = codec.encode("h", "127.0.0.1:1", level, message)
     assert raw[:2] == b"B\x02" and codec.decode(raw) == ("h", "127.0.0.1:1", level, message)
-    spoilt = [raw[:-1], raw[:20], b"L" + raw[1:], raw[:30] + b"\xff" + raw[31:]]
-    for wrong in spoilt:
+    altered_datagrams = [raw[:-1], raw[:20], b"L" + raw[1:], raw[:30] + b"\xff" + raw[31:]]
+    for altered in altered_datagrams:
         with pytest.raises(MessageError):
-            codec.decode(wrong)
-    for stranger in (
+            codec.decode(altered)
+    for foreign_codec in (
         TwoLevelCodec(MessageCodec("f", "t"), "east", 2, 2),
         TwoLevelCodec(MessageCodec("g", "s"), "east", 2, 2),
     ):
         with pytest.raises(MessageError):
-            stranger.decode(raw)
+            foreign_codec.decode(raw)
 
 
 def test_codecs_reject_messages_of_the_other_version() -> None:
-    one, two = BudgetCodec(MessageCodec("f", "s"), 2), TwoLevelCodec(MessageCodec("f", "s"), "east", 2, 2)
-    first, second = one.encode("h", "", Redirect(EPOCH)), two.encode("h", "", Level.FLEET, Redirect(EPOCH))
-    for codec, raw in ((one, second), (two, first)):
+    one_level_codec, two_level_codec = (
+        BudgetCodec(MessageCodec("f", "s"), 2),
+        TwoLevelCodec(MessageCodec("f", "s"), "east", 2, 2),
+    )
+    first, second = (
+        one_level_codec.encode("h", "", Redirect(EPOCH)),
+        two_level_codec.encode("h", "", Level.FLEET, Redirect(EPOCH)),
+    )
+    for codec, raw in ((one_level_codec, second), (two_level_codec, first)):
         with pytest.raises(MessageError) as error:
             codec.decode(raw)
         assert error.value.reason is DropReason.VERSION
-    for codec, raw in ((one, b"B\x01" + second[2:]), (two, b"B\x02" + first[2:])):
+    for codec, raw in ((one_level_codec, b"B\x01" + second[2:]), (two_level_codec, b"B\x02" + first[2:])):
         with pytest.raises(MessageError) as error:
             codec.decode(raw)
-        assert error.value.reason is DropReason.FOREIGN  # the version is under the code
+        assert error.value.reason is DropReason.FOREIGN  # the authentication code covers the version
     with pytest.raises(ValueError):
-        one.encode("h", "", SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 900_000))
+        one_level_codec.encode("h", "", SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 900_000))
 
 
 def test_codec_rejects_wrong_row_length_and_other_regions_level() -> None:
     codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
-    wide, all_of_them = LeaseGrant(EPOCH, "h", 1, 2, (5,)), SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 9)
-    for level, right, wrong in (
-        (Level.FLEET, wide, all_of_them), (Level.REGION, all_of_them, wide)
+    fleet_grant, region_grant = LeaseGrant(EPOCH, "h", 1, 2, (5,)), SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 9)
+    for level, valid, invalid in (
+        (Level.FLEET, fleet_grant, region_grant), (Level.REGION, region_grant, fleet_grant)
     ):  # fmt: skip
-        assert codec.decode(codec.encode("h", "", level, right)).message == right
+        assert codec.decode(codec.encode("h", "", level, valid)).message == valid
         with pytest.raises(MessageError):
-            codec.decode(codec.encode("h", "", level, wrong))
+            codec.decode(codec.encode("h", "", level, invalid))
     with pytest.raises(MessageError):
         codec.decode(codec.encode("h", "", Level.REGION, SubLeaseGrant(EPOCH, "h", 1, 2, (5, 6), 1 << 61)))
     west = TwoLevelCodec(MessageCodec("f", "s"), "west", 1, 2)
-    assert west.decode(codec.encode("h", "", Level.FLEET, wide)).level is Level.FLEET
+    assert west.decode(codec.encode("h", "", Level.FLEET, fleet_grant)).level is Level.FLEET
     with pytest.raises(MessageError) as error:
-        west.decode(codec.encode("h", "", Level.REGION, all_of_them))
+        west.decode(codec.encode("h", "", Level.REGION, region_grant))
     assert error.value.reason is DropReason.FOREIGN
 
 
@@ -203,41 +219,47 @@
     codec = TwoLevelCodec(MessageCodec("f", "s"), name, 2, 2)
     bound = largest_datagram_bytes(amounts, name)
     assert bound < MAX_DATAGRAM_BYTES
-    said: list[Message] = [
+    messages: list[Message] = [
         LeaseRequest(name, 1 << 60, 1 << 60, epoch, amounts, amounts, False, amounts),
         SubLeaseGrant(epoch, name, 1 << 60, 1 << 60, amounts, 1 << 60),
         VoteReply(name, epoch, 1 << 60, True, 9),
     ]  # fmt: skip
-    assert max(len(codec.encode(name, name, Level.REGION, one)) for one in said) == bound
+    assert max(len(codec.encode(name, name, Level.REGION, message)) for message in messages) == bound
 
 
 # The service
 
 
-def service(tmp: Path, sent: list[Any], name: str = "a", site: str = "s0", fleet: str = "f") -> BudgetService:
-    """One process's part, of a name that votes at both levels."""
+def make_service(
+    folder: Path, sent: list[Any], name: str = "a", site: str = "s0", fleet: str = "f"
+) -> BudgetService:
+    """Return the budget service of one process whose name is a voter at both levels."""
     return BudgetService(
-        name, len(sent) + 1, fleet, str(tmp), [], ["a", "d", "e"], [], Terms(), MessageCodec("f", "s"),
-        lambda to, told, raw: sent.append((to, raw)), "", plan=region_plan(name, site),
+        name, len(sent) + 1, fleet, str(folder), [], ["a", "d", "e"], [], Terms(), MessageCodec("f", "s"),
+        lambda to, address, raw: sent.append((to, raw)), "", plan=region_plan(name, site),
     )  # fmt: skip
 
 
 def test_votes_are_stored_per_level_and_restored_by_new_process(tmp_path: Path) -> None:
-    other, there = Epoch(4, "d", 1), Epoch(5, "b", 1)
+    fleet_epoch, region_epoch = Epoch(4, "d", 1), Epoch(5, "b", 1)
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
-        old = service(tmp_path, [])
+        old = make_service(tmp_path, [])
         old.call(old.node.tick)
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         for node in (old.levels.node.fleet, old.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
-        old.take(codec.encode("d", "", Level.FLEET, VoteRequest(other, 1)))
-        old.take(codec.encode("b", "", Level.REGION, VoteRequest(there, 1)))
-        assert old.status()["votes_for"] == list(there) and old.status()["fleet"]["votes_for"] == list(other)
+        old.take(codec.encode("d", "", Level.FLEET, VoteRequest(fleet_epoch, 1)))
+        old.take(codec.encode("b", "", Level.REGION, VoteRequest(region_epoch, 1)))
+        assert old.status()["votes_for"] == list(region_epoch) and old.status()["fleet"]["votes_for"] == list(
+            fleet_epoch
+        )
         old.close()
-        new = service(tmp_path, [])
+        new = make_service(tmp_path, [])
         new.call(new.node.tick)
-        assert new.status()["votes_for"] == list(there) and new.status()["fleet"]["votes_for"] == list(other)
+        assert new.status()["votes_for"] == list(region_epoch) and new.status()["fleet"]["votes_for"] == list(
+            fleet_epoch
+        )
         new.close()
         votes = sorted(file.name.rpartition("-")[2] for file in tmp_path.glob("lupintack-vote-*"))
         assert votes == ["fleet", "region"]
@@ -246,46 +268,46 @@
 def test_vote_that_cannot_be_stored_is_withheld_only_at_its_level(tmp_path: Path) -> None:
     sent: list[Any] = []
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
-        one = service(tmp_path, sent)
-        one.call(one.node.tick)
-        for node in (one.levels.node.fleet, one.levels.node.region):  # type: ignore[union-attr]
+        service = make_service(tmp_path, sent)
+        service.call(service.node.tick)
+        for node in (service.levels.node.fleet, service.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
-        one.vote_files.paths[Level.FLEET] = tmp_path / "no folder" / "vote"
+        service.vote_files.paths[Level.FLEET] = tmp_path / "no folder" / "vote"
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         sent.clear()
-        one.take(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
-        assert not sent and one.counts["unkept"] == 1
-        one.take(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
+        service.take(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
+        assert not sent and service.counts["unkept"] == 1
+        service.take(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
         assert [to for to, _ in sent] == ["b"]
-        one.close()
+        service.close()
 
 
 def test_only_one_of_two_processes_votes_and_has_region_reservation(tmp_path: Path) -> None:
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
-        old, new = service(tmp_path, []), service(tmp_path, [])
-        for one in (old, new):
-            one.call(one.node.tick)
-        assert [one["floor"] for one in old.status()["budgets"]] == [1, 2]
-        assert [one["floor"] for one in new.status()["budgets"]] == [0, 0]
+        old, new = make_service(tmp_path, []), make_service(tmp_path, [])
+        for service in (old, new):
+            service.call(service.node.tick)
+        assert [row["floor"] for row in old.status()["budgets"]] == [1, 2]
+        assert [row["floor"] for row in new.status()["budgets"]] == [0, 0]
         assert new.status()["votes_for"] is None and new.status()["fleet"]["votes_for"] is None
         old.close()
         new.close()
 
 
 def test_dropped_datagrams_of_other_version_or_region_are_counted(tmp_path: Path) -> None:
-    one = service(tmp_path, [])
-    one.take(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
-    one.take(
+    service = make_service(tmp_path, [])
+    service.take(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
+    service.take(
         TwoLevelCodec(MessageCodec("f", "s"), "west", 1, 2).encode("x", "", Level.REGION, Redirect(EPOCH))
     )
-    assert one.counts == {"dropped.version": 1, "dropped.foreign": 1} and not one.addresses
-    one.close()
+    assert service.counts == {"dropped.version": 1, "dropped.foreign": 1} and not service.addresses
+    service.close()
 
 
 def status(changes: dict[str, Any], fleet: dict[str, Any], parent: dict[str, Any] | None) -> dict[str, Any]:
-    """What a router of two levels tells, with some of it changed."""
-    found: dict[str, Any] = {
+    """Return the budget status of a router with two levels, with some changes."""
+    report: dict[str, Any] = {
         "epoch": [3, "b", 1], "divides": False, "ready": False, "lease_ends_ms": 7000,
         "level": "region", "region": "east", "parent_lease": parent,
         "fleet": {"epoch": None, "divides": False, "ready": False, "budgets": ["fills"]} | fleet,
@@ -295,7 +317,7 @@
              "given": None},
         ],
     }  # fmt: skip
-    return found | changes
+    return report | changes
 
 
 def test_budgets_page_shows_allocators_and_parent_lease() -> None:
@@ -318,13 +340,13 @@
 # The processes
 
 STORE_FILLS = 24
-CLIENTS = 4  # of each router; each has one request at a time
+CLIENTS = 4  # per router; each has one request at a time
 ROUTERS, REGION_COUNT = 9, 3
-PATIENCE_S = 60.0  # for one step: the machine may be busy
-FILLS, STORE, OWN = range(3)  # of each router's budgets: two of the fleet, one of its region
+PATIENCE_S = 60.0  # per step; the machine may be busy
+FILLS, STORE, OWN = range(3)  # indexes of a router's budgets: two fleet-wide, one of its region
 PROCESS_TABLE: dict[str, Any] = {
     "enabled": True,
-    "voters": ["n0", "n1", "n2"],  # one of each region
+    "voters": ["n0", "n1", "n2"],  # one in each region
     "per_second": {"fills": 1000},
     "at_once": {"store-fills": STORE_FILLS, **{f"cold-caches.site{n}": 60 for n in range(REGION_COUNT)}},
     "floor_percent": 75,
@@ -335,52 +357,53 @@
         for n in range(REGION_COUNT)
     },
 }
-REGION_OF = {name: region for region, one in PROCESS_TABLE["regions"].items() for name in one["voters"]}
+REGION_OF = {name: region for region, table in PROCESS_TABLE["regions"].items() for name in table["voters"]}
 
 
 class TwoLevelLeaseRecorder(LeaseRecorder):
-    """What the processes tell, by region; all of them have a reservation, and none may be lent to another."""
+    """Records leases by region; every process has a reservation, which is never lent to other processes."""
 
     def region_allocator(self, region: str) -> str:
-        """Who allocates in this region and is past its wait; "" for nobody."""
+        """Return the region's allocator if it has waited for older leases to expire, else ""."""
         self.sample()
         names = [name for name in self.active_routers() if REGION_OF[name] == region]
         return next((name for name in names if self.statuses.get(name, {}).get("ready")), "")
 
     def fleet_allocator(self) -> str:
-        """Who allocates to the regions and is past its wait; "" for nobody."""
+        """Return the fleet's allocator if it has waited for older leases to expire, else ""."""
         self.sample()
         return next(
             (n for n in self.active_routers() if self.statuses.get(n, {}).get("fleet", {}).get("ready")), ""
         )
 
     def active_routers(self) -> list[str]:
-        """Those that run and aren't paused."""
+        """Return the routers that are running and not paused."""
         return [name for name in self.routers.running if name not in self.routers.paused]
 
     def leasable(self, n: int) -> int:
-        """What all leases may come to: the whole without all names' reservations."""
+        """Return the limit for the sum of all leases: the total minus the names' reservations."""
         plan = region_plan("n0", "site0", PROCESS_TABLE)
         names = ROUTERS if n < plan.fleet_wide else ROUTERS // REGION_COUNT
         return plan.budgets[n].total_units - names * plan.name_reservations[n]
 
     def last_leased_share(self, n: int, region: str = "") -> float:
-        """What all held at the last look, or those of a region, of what all leases may come to."""
+        """Return the leased part of `leasable` at the last sample, of all routers or of a region's."""
         names = [
             name for name in self.routers.running if name in self.statuses and region in ("", REGION_OF[name])
         ]
-        held = sum(self.statuses[name]["budgets"][n]["lease"] for name in names)
-        return float(held / self.leasable(n))
+        leased = sum(self.statuses[name]["budgets"][n]["lease"] for name in names)
+        return float(leased / self.leasable(n))
 
 
 def test_leases_never_exceed_totals_in_three_regions_with_faults_at_each_level(tmp_path: Path) -> None:
-    """Nine processes whose clients want more than there is: a region's allocator killed, the fleet's paused,
-    a region cut off and back. The sum holds at every instant, by what all tell and at the store.
+    """The clients of nine processes demand more than the budgets. A region's allocator is killed, the fleet's
+    is paused, and a region is cut off and reconnected. The sums stay within the bounds at every instant, both
+    in the routers' status and at the origin.
     """
-    level = store.Level()
+    origin_level = store.Level()
     terms = caches.Terms(delay_s=lambda name, cls: 0.2)
     fleet = caches.Fleet(terms, {name: kind for name, kind in HOSTS.items() if kind != "parent"})
-    fleet.watch = level.watch
+    fleet.watch = origin_level.watch
     routers = Routers(
         tmp_path, ROUTERS, sites=REGION_COUNT, tables=lambda name: {"budgets": PROCESS_TABLE}, fleet=fleet
     )
@@ -390,83 +413,95 @@
         recorder = TwoLevelLeaseRecorder(routers)
 
         def all_leased() -> bool:
-            """Of the budget that all want, and of each region's own."""
+            """Whether all units of the fleet-wide budget and of each region's own budget are leased."""
             recorder.sample()
-            own = (recorder.last_leased_share(OWN, region) for region in PROCESS_TABLE["regions"])
-            return recorder.last_leased_share(FILLS) > 0.99 and all(part > 0.99 for part in own)
+            own_shares = (recorder.last_leased_share(OWN, region) for region in PROCESS_TABLE["regions"])
+            return recorder.last_leased_share(FILLS) > 0.99 and all(share > 0.99 for share in own_shares)
 
-        routers.until(lambda: bool(recorder.fleet_allocator()) and all_leased(), PATIENCE_S, "all is leased")
+        routers.until(
+            lambda: bool(recorder.fleet_allocator()) and all_leased(), PATIENCE_S, "all units are leased"
+        )
         clients = store.Clients(routers.listen, CLIENTS)
-        routers.until(lambda: level.out > STORE_FILLS / 2, PATIENCE_S, "the store is in use")
+        routers.until(lambda: origin_level.out > STORE_FILLS / 2, PATIENCE_S, "the origin is in use")
 
-        def found(who: Callable[[], str], text: str) -> str:
-            """Its name, as soon as there is one: on a busy machine a term may run out between two looks."""
+        def wait_for_name(find_name: Callable[[], str], text: str) -> str:
+            """Return the name when there is one; on a busy machine a term may expire between two samples."""
             names: list[str] = [""]
 
-            def there() -> bool:
-                names.append(who())
+            def is_known() -> bool:
+                names.append(find_name())
                 return bool(names[-1])
 
-            routers.until(there, PATIENCE_S, text)
+            routers.until(is_known, PATIENCE_S, text)
             return names[-1]
 
-        asked = found(lambda: recorder.region_allocator("region1"), "region1 has an allocator")
-        admin = f"127.0.0.1:{routers.admin[asked]}"
+        queried = wait_for_name(lambda: recorder.region_allocator("region1"), "region1 has an allocator")
+        admin = f"127.0.0.1:{routers.admin[queried]}"
         page = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
         assert page.exit_code == 0 and "parent lease: ends in" in page.output, page.output
 
-        fleets = found(recorder.fleet_allocator, "the fleet has an allocator")
-        region = next(one for one in PROCESS_TABLE["regions"] if one != REGION_OF[fleets])
-        killed = found(lambda: recorder.region_allocator(region), "the region to be struck has one")
+        fleet_allocator_name = wait_for_name(recorder.fleet_allocator, "the fleet has an allocator")
+        region = next(name for name in PROCESS_TABLE["regions"] if name != REGION_OF[fleet_allocator_name])
+        killed = wait_for_name(
+            lambda: recorder.region_allocator(region), "the region has an allocator to kill"
+        )
         recorder.kill(killed)
         routers.until(
-            lambda: bool(recorder.region_allocator(region)), PATIENCE_S, "another one of its region"
+            lambda: bool(recorder.region_allocator(region)), PATIENCE_S, "the region has another allocator"
         )
         routers.launch(killed)
         routers.until(
-            lambda: all_leased() and killed in recorder.statuses, PATIENCE_S, "all is leased after a kill"
+            lambda: all_leased() and killed in recorder.statuses,
+            PATIENCE_S,
+            "all units are leased after a kill",
         )
 
-        paused = found(recorder.fleet_allocator, "the fleet has one to be paused")
+        paused = wait_for_name(recorder.fleet_allocator, "the fleet has an allocator to pause")
         routers.pause([paused])
-        slept = time.monotonic()
+        paused_s = time.monotonic()
         routers.until(
-            lambda: recorder.fleet_allocator() not in ("", paused), PATIENCE_S, "another one of the fleet"
+            lambda: recorder.fleet_allocator() not in ("", paused),
+            PATIENCE_S,
+            "the fleet has another allocator",
         )
         routers.resume([paused])
-        slept = time.monotonic() - slept
-        routers.until(all_leased, PATIENCE_S, "all is leased after a pause")
+        paused_s = time.monotonic() - paused_s
+        routers.until(all_leased, PATIENCE_S, "all units are leased after a pause")
 
-        away = [name for name in routers.names if REGION_OF[name] == "region2"]
-        routers.switch.split(away, [name for name in routers.names if name not in away])
-        routers.until(lambda: cut_off(recorder, away), PATIENCE_S, "the region has no parent lease")
+        cut_off_routers = [name for name in routers.names if REGION_OF[name] == "region2"]
+        routers.switch.split(cut_off_routers, [name for name in routers.names if name not in cut_off_routers])
+        routers.until(
+            lambda: cut_off(recorder, cut_off_routers), PATIENCE_S, "the region has no parent lease"
+        )
 
-        def own_leased() -> bool:
-            """Of the region that is cut off."""
+        def own_budget_leased() -> bool:
+            """Whether all units of the own budget of the region cut off are leased."""
             recorder.sample()
             return recorder.last_leased_share(OWN, "region2") > 0.99
 
-        routers.until(own_leased, PATIENCE_S, "and leases its own budget")
-        held = sum(recorder.statuses[name]["budgets"][FILLS]["lease"] for name in away)
-        assert held <= region_plan("n2", "site2", PROCESS_TABLE).region_pool[FILLS]
+        routers.until(own_budget_leased, PATIENCE_S, "the region cut off leases its own budget")
+        leased = sum(recorder.statuses[name]["budgets"][FILLS]["lease"] for name in cut_off_routers)
+        assert leased <= region_plan("n2", "site2", PROCESS_TABLE).region_pool[FILLS]
         routers.switch.heal()
-        routers.until(all_leased, PATIENCE_S, "all is leased after a cut")
-        ends = clients.stop()
+        routers.until(all_leased, PATIENCE_S, "all units are leased after a partition")
+        end_counts = clients.stop()
 
         won = [
             line for name in routers.names for line in routers.log(name).splitlines() if "event=won" in line
         ]
-        assert all(any(f"budget_level={one.value}" in line for line in won) for one in Level)
+        assert all(
+            any(f"budget_level={budget_level.value}" in line for line in won) for budget_level in Level
+        )
         assert all("level=info" in line.split() for line in won)
         assert not [name for name in routers.names if "Traceback" in routers.log(name)]
         for n in (FILLS, STORE):
             assert 0 < recorder.peak_sum(n) <= recorder.leasable(n), n
-        for one in PROCESS_TABLE["regions"]:
-            names = [name for name in routers.names if REGION_OF[name] == one]
-            assert 0 < recorder.peak_sum(OWN, names) <= recorder.leasable(OWN), one
-        assert 0 < level.most() <= STORE_FILLS
-        assert ends["200"] > 100 and ends["503"] > 100
-        all_answered(clients.by_router, killed, paused, slept)
+        for region_name in PROCESS_TABLE["regions"]:
+            names = [name for name in routers.names if REGION_OF[name] == region_name]
+            assert 0 < recorder.peak_sum(OWN, names) <= recorder.leasable(OWN), region_name
+        assert 0 < origin_level.most() <= STORE_FILLS
+        assert end_counts["200"] > 100 and end_counts["503"] > 100
+        check_all_answered(clients.by_router, killed, paused, paused_s)
     finally:
         if clients is not None:
             clients.stop()
@@ -474,7 +509,7 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "wrong"),
+    ("table", "expected_error"),
     [
         (
             PROCESS_TABLE | {"regions": {"far": {"voters": ["n0"], "sites": ["elsewhere"]}}},
@@ -491,47 +526,47 @@
     ],
 )
 def test_router_with_invalid_region_exits_with_one_line(
-    tmp_path: Path, table: dict[str, Any], wrong: str
+    tmp_path: Path, table: dict[str, Any], expected_error: str
 ) -> None:
     routers = Routers(tmp_path, 1, tables=lambda name: {"budgets": table})
     try:
         routers.launch("n0")
         assert routers.running["n0"].wait(PATIENCE_S) == 2
-        assert wrong in routers.log("n0") and routers.log("n0").count("\n") == 1
+        assert expected_error in routers.log("n0") and routers.log("n0").count("\n") == 1
     finally:
         routers.close()
 
 
 def cut_off(recorder: TwoLevelLeaseRecorder, names: list[str]) -> bool:
-    """Whether the allocator of these routers' region has no parent lease any more."""
+    """Return whether the allocator of these routers' region has lost its parent lease."""
     allocator = recorder.region_allocator(REGION_OF[names[0]])
     parent = recorder.statuses[allocator]["parent_lease"] if allocator else None
     return parent is not None and parent["ends_ms"] == 0 and not any(parent["covered"])
 
 
-def all_answered(by_router: dict[str, Any], killed: str, paused: str, slept: float) -> None:
-    """Every request had one final answer, but for those at the two processes that could not give it.
+def check_all_answered(by_router: dict[str, Any], killed: str, paused: str, paused_s: float) -> None:
+    """Check that each request got one final reply, except at the killed and the paused process.
 
-    What the killed one had read, or its kernel had taken while it died, was not answered: at most two of each
-    client. What the paused one held past its time was failed when it woke, or its client had left
-    by then.
+    Requests that the killed process had read, or its kernel had accepted while it ended, get no reply: at
+    most two per client. Requests that expired in the paused process fail when it resumes, or their clients
+    have disconnected by then.
     """
-    late = CLIENTS * (1 + int(slept / store.PATIENCE_S))
-    for name, ends in by_router.items():
-        # A 502 is final, too: on a busy machine an attempt may come to its time. One of each client at most.
-        most = {
+    max_late = CLIENTS * (1 + int(paused_s / store.PATIENCE_S))
+    for name, end_counts in by_router.items():
+        # A 502 is final, too: on a busy machine an attempt may time out, at most one per client.
+        max_counts = {
             "200": store.MAX_REQUESTS_PER_CLIENT * CLIENTS,
             "503": store.MAX_REQUESTS_PER_CLIENT * CLIENTS,
             "502": CLIENTS,
         }
         if name == killed:
-            most |= {"refused": store.MAX_REQUESTS_PER_CLIENT * CLIENTS, "unanswered": 2 * CLIENTS}
+            max_counts |= {"refused": store.MAX_REQUESTS_PER_CLIENT * CLIENTS, "unanswered": 2 * CLIENTS}
         if name == paused:
-            most |= {"502": 2 * CLIENTS, "unanswered": most.get("unanswered", 0) + late}
-        assert all(count <= most.get(end, 0) for end, count in ends.items()), (
+            max_counts |= {"502": 2 * CLIENTS, "unanswered": max_counts.get("unanswered", 0) + max_late}
+        assert all(count <= max_counts.get(end, 0) for end, count in end_counts.items()), (
             name,
             killed,
             paused,
-            slept,
-            ends,
+            paused_s,
+            end_counts,
         )
