--- a/lupintack/budgets/node.py
+++ b/lupintack/budgets/node.py
@@ -63,8 +63,7 @@
         prepare: Callable[[Allocator], None] = lambda allocator: None,
     ) -> None:
         """`allocatable`: for each budget, the total minus its reservations; `stored`: see Voter;
-        `requests_leases`: whether to request leases from the start; `prepare`: called with the new allocator
-        after an election is won.
+        `requests_leases`: from the start; `prepare`: called with the new allocator after a won election.
         """
         self.name, self.start, self.terms, self.random = name, start, terms, random
         self.voters = tuple(sorted(set(voters)))
