--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -163,7 +163,7 @@
 
 
 def test_units_covered_by_reservation_are_not_reported_in_use(tmp_path: Path) -> None:
-    """With three voters using their reservations and leases, 3 of 9 units were never granted again."""
+    """When they were reported, with three voters at their limits 3 of 9 units were never granted again."""
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         first, second = make_service(tmp_path, []), make_service(tmp_path, [])
         for service in (first, second):
