--- a/lupintack/fleet/budget_levels.py
+++ b/lupintack/fleet/budget_levels.py
@@ -20,11 +20,11 @@
 from lupintack.budgets.voter import Promise
 from lupintack.membership.messages import MessageCodec
 
-StoredPromise = Callable[[Level], Promise | None]  # what the process before promised at a level
+PromiseReader = Callable[[Level], Promise | None]  # what the process before promised at a level
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class ReceivedDatagram:
     """A decoded datagram: its sender, the address for answers, and the call on the node."""
 
     sender: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Router:
+class RouterIdentity:
     """The identity and terms of this process."""
 
     name: str
@@ -53,13 +53,13 @@
         """The node that is ticked."""
 
     @property
-    def holding(self) -> BudgetNode:
+    def holder_node(self) -> BudgetNode:
         """The level at which this process holds leases to spend."""
 
-    def become_voter(self, stored: StoredPromise, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
         """Vote for this process's name from now on, at each level where the name is a voter."""
 
-    def decode(self, raw: bytes) -> Received:
+    def decode(self, raw: bytes) -> ReceivedDatagram:
         """Decode a datagram; raises Bad for one that can't be read."""
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
@@ -73,7 +73,12 @@
     """The fleet's allocator leases to each router."""
 
     def __init__(
-        self, router: Router, budgets: Sequence[Budget], names: Sequence[str], codec: MessageCodec, now: int
+        self,
+        router: RouterIdentity,
+        budgets: Sequence[Budget],
+        names: Sequence[str],
+        codec: MessageCodec,
+        now: int,
     ) -> None:
         """`names`: those that have reservations."""
         self.budgets = tuple(budgets)
@@ -94,18 +99,18 @@
         )
 
     @property
-    def holding(self) -> BudgetNode:
+    def holder_node(self) -> BudgetNode:
         """The only level."""
         return self.node
 
-    def become_voter(self, stored: StoredPromise, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
         """See Levels."""
-        self.node.become_voter(stored(Level.FLEET), now)
+        self.node.become_voter(read_promise(Level.FLEET), now)
 
-    def decode(self, raw: bytes) -> Received:
+    def decode(self, raw: bytes) -> ReceivedDatagram:
         """See Levels."""
         sender, address, message = self.codec.decode(raw)
-        return Received(sender, address, lambda now: self.node.receive(sender, message, now))
+        return ReceivedDatagram(sender, address, lambda now: self.node.receive(sender, message, now))
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """See Levels."""
@@ -119,7 +124,7 @@
 class TwoLevels:
     """The region's allocator leases to each router of the region, and holds a lease of the fleet's."""
 
-    def __init__(self, router: Router, plan: RegionPlan, codec: MessageCodec, now: int) -> None:
+    def __init__(self, router: RouterIdentity, plan: RegionPlan, codec: MessageCodec, now: int) -> None:
         """A router of this plan's region."""
         self.budgets, self.plan = plan.budgets, plan
         voter = router.name in plan.region.voters
@@ -130,18 +135,18 @@
         )
 
     @property
-    def holding(self) -> BudgetNode:
+    def holder_node(self) -> BudgetNode:
         """The region's level."""
         return self.node.region
 
-    def become_voter(self, stored: StoredPromise, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
         """See Levels."""
-        self.node.become_voter(stored, now)
+        self.node.become_voter(read_promise, now)
 
-    def decode(self, raw: bytes) -> Received:
+    def decode(self, raw: bytes) -> ReceivedDatagram:
         """See Levels."""
         sender, address, level, message = self.codec.decode(raw)
-        return Received(sender, address, lambda now: self.node.receive(sender, level, message, now))
+        return ReceivedDatagram(sender, address, lambda now: self.node.receive(sender, level, message, now))
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """See Levels."""
@@ -176,7 +181,7 @@
 
 
 def build_levels(
-    router: Router,
+    router: RouterIdentity,
     budgets: Sequence[Budget],
     names: Sequence[str],
     codec: MessageCodec,
--- a/lupintack/fleet/budgets.py
+++ b/lupintack/fleet/budgets.py
@@ -21,7 +21,7 @@
 from lupintack.clock import now_us
 from lupintack.fleet.budget_levels import (
     Levels,
-    Router,
+    RouterIdentity,
     allocated_units,
     allocation_status,
     as_level_actions,
@@ -72,7 +72,7 @@
         self.in_use: tuple[int, ...] = ()
         self.demand_requested_us = 0
         self.name, self.fleet, self.terms, self.send, self.address = name, fleet, terms, send, address
-        now, router = now_us(), Router(name, start, tuple(voters), terms)
+        now, router = now_us(), RouterIdentity(name, start, tuple(voters), terms)
         self.levels: Levels = build_levels(router, budgets, names, codec, plan, now)
         self.node, self.budgets = self.levels.node, self.levels.budgets
         self.vote_files = VoteFiles(name, fleet, plan.region.name if plan is not None else None, tmp, terms)
@@ -121,15 +121,15 @@
         except Exception:  # one tick's fault must not end the others
             self.counts["faults"] += 1
             LOG.exception("budgets")
-        return self.next_us
+        return self.next_step_us
 
     @property
-    def next_us(self) -> int:
+    def next_step_us(self) -> int:
         """When the next step is due, in microseconds."""
         ends = self.last[1] or self.node.wake_us
         return min(self.node.wake_us, ends, self.demand_requested_us + self.demand_interval_us)
 
-    def take(self, raw: bytes) -> None:
+    def on_datagram(self, raw: bytes) -> None:
         """Handle a datagram."""
         try:
             datagram = self.levels.decode(raw)
@@ -194,7 +194,7 @@
 
     def allocates(self, now: int) -> bool:
         """Return whether this process is the allocator of its own level: its region's, or the only one."""
-        return self.levels.holding.is_allocator(now)
+        return self.levels.holder_node.is_allocator(now)
 
     def leave(self) -> None:
         """Release the lease and the voters' promises."""
@@ -216,7 +216,7 @@
     def status(self) -> dict[str, Any]:
         """Return the budgets' state for operators: totals, allocations, leases and who allocates."""
         with self.lock:
-            now, node = now_us(), self.levels.holding
+            now, node = now_us(), self.levels.holder_node
             divided = allocated_units(node, now)
             return {
                 "now_us": now,
--- a/lupintack/fleet/transport.py
+++ b/lupintack/fleet/transport.py
@@ -138,7 +138,7 @@
         """Handle a datagram of the membership or the budgets."""
         self.counters["bytes.in"] += len(raw)
         if raw[:1] == BUDGET_MAGIC and self.budgets is not None:
-            self.budgets.take(raw)
+            self.budgets.on_datagram(raw)
             return
         try:
             message = self.codec.decode(raw)
--- a/lupintack/membership/failure_arbiter.py
+++ b/lupintack/membership/failure_arbiter.py
@@ -55,7 +55,7 @@
     """The state that a suspicion's reports prove, None for none; and whether a proof is near."""
 
     state: State | None
-    is_near: bool
+    is_imminent: bool
 
 
 class FailureArbiter:
@@ -115,8 +115,8 @@
         # Silence may be a cut, and the routers on its smaller side must not remove the others.
         has_failed = agree(silent) and not may_not_decide
         near_us = timeout_us - self.config.max_decision_delay_us
-        is_near = len(unreachable) > 0 or any(silence >= near_us for silence in silence_us.values())
-        return Assessment(State.FAILED if has_failed else None, is_near)
+        is_imminent = len(unreachable) > 0 or any(silence >= near_us for silence in silence_us.values())
+        return Assessment(State.FAILED if has_failed else None, is_imminent)
 
     def _valid_reports(self, suspicion: Suspicion) -> dict[str, FailureReport]:
         process = (suspicion.start, suspicion.incarnation)
@@ -146,7 +146,7 @@
             assessment = self.evaluate(suspicion, now_us, site_of, may_not_decide)
             if assessment.state is not None:
                 decided.append(FailureDecision(suspicion.name, assessment.state))
-            elif assessment.is_near:
+            elif assessment.is_imminent:
                 near_count += 1
         if not decided:
             self.first_decision_us = None
--- a/lupintack/membership/state_machine.py
+++ b/lupintack/membership/state_machine.py
@@ -239,14 +239,14 @@
         has_removal = False
         for record in records:
             if record.name == self.name:
-                self._on_report_about_self(record, now_us)
+                self._on_own_record(record, now_us)
             elif self.state.merge(record, now_us) and record.state is not State.JOINING:
                 self.state.gossip.add(record)
                 has_removal |= record.state in TERMINAL_STATES
         if has_removal:
             self.outbox.push_gossip(now_us, REMOVAL_FANOUT)
 
-    def _on_report_about_self(self, record: Record, now_us: int) -> None:
+    def _on_own_record(self, record: Record, now_us: int) -> None:
         state, me = self.state, self.me
         is_other_process = record.start == me.start and record.address != me.address
         if record.start > me.start or is_other_process:
--- a/lupintack/scale/hollow_router.py
+++ b/lupintack/scale/hollow_router.py
@@ -232,7 +232,7 @@
         fleet = self.fleet
         times = (
             fleet.membership.wake_us,
-            self.budgets.next_us,
+            self.budgets.next_step_us,
             fleet.exchanges.wake_us,
             self.discovery.wake_us,
         )
@@ -248,7 +248,7 @@
         self.scheduled_us = NEVER_US
         if now >= self.fleet.membership.wake_us:
             self.timed("membership", lambda: self.fleet.process(b""))
-        if now >= self.budgets.next_us:
+        if now >= self.budgets.next_step_us:
             self.timed("budgets", self.budgets.step)
             self.allocator = self.allocator or self.allocates(now)
             self.region_allocator = self.region_allocator or self.allocates_region(now)
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -159,12 +159,12 @@
             one.set_demand((50,), (14,))
             one.call(one.node.tick)
         assert first.name_reservations == (10,) and (
-            first.levels.holding.in_use,
-            second.levels.holding.in_use,
+            first.levels.holder_node.in_use,
+            second.levels.holder_node.in_use,
         ) == ((4,), (14,))
         first.set_demand((50,), (3,))
         first.call(first.node.tick)
-        assert first.levels.holding.in_use == (0,)
+        assert first.levels.holder_node.in_use == (0,)
         first.close()
         second.close()
 
@@ -178,11 +178,11 @@
         old, new = part(tmp_path, sent[0]), part(tmp_path, sent[1])
         for one in (old, new):
             one.call(one.node.tick)
-        assert old.levels.holding.voter is not None and new.levels.holding.voter is None
+        assert old.levels.holder_node.voter is not None and new.levels.holder_node.voter is None
         assert old.status()["budgets"][0]["floor"] == 10 and new.status()["budgets"][0]["floor"] == 0
-        old.levels.holding.voter.abstain_until_us = 0
-        old.take(codec.encode("a", "", VoteRequest(epoch, 1)))
-        new.take(codec.encode("b", "", VoteRequest(other, 1)))
+        old.levels.holder_node.voter.abstain_until_us = 0
+        old.on_datagram(codec.encode("a", "", VoteRequest(epoch, 1)))
+        new.on_datagram(codec.encode("b", "", VoteRequest(other, 1)))
         assert old.status()["votes_for"] == list(epoch) and new.status()["votes_for"] is None
         assert "b" not in [to for to, _ in sent[1]]
         old.close()
@@ -193,7 +193,7 @@
         "v", 1, "f", "", [], ["v"], ["v"], Terms(), MessageCodec("f", "s"), lambda to, told, raw: None, ""
     )
     nowhere.call(nowhere.node.tick)
-    assert nowhere.levels.holding.voter is None
+    assert nowhere.levels.holder_node.voter is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -229,8 +229,8 @@
         for node in (old.levels.node.fleet, old.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
-        old.take(codec.encode("d", "", Level.FLEET, VoteRequest(other, 1)))
-        old.take(codec.encode("b", "", Level.REGION, VoteRequest(there, 1)))
+        old.on_datagram(codec.encode("d", "", Level.FLEET, VoteRequest(other, 1)))
+        old.on_datagram(codec.encode("b", "", Level.REGION, VoteRequest(there, 1)))
         assert old.status()["votes_for"] == list(there) and old.status()["fleet"]["votes_for"] == list(other)
         old.close()
         new = service(tmp_path, [])
@@ -252,9 +252,9 @@
         one.vote_files.paths[Level.FLEET] = tmp_path / "no folder" / "vote"
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         sent.clear()
-        one.take(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
+        one.on_datagram(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
         assert not sent and one.counts["unkept"] == 1
-        one.take(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
+        one.on_datagram(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
         assert [to for to, _ in sent] == ["b"]
         one.close()
 
@@ -273,8 +273,8 @@
 
 def test_a_router_of_one_level_is_counted_as_another_version(tmp_path: Path) -> None:
     one = service(tmp_path, [])
-    one.take(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
-    one.take(
+    one.on_datagram(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
+    one.on_datagram(
         TwoLevelCodec(MessageCodec("f", "s"), "west", 1, 2).encode("x", "", Level.REGION, Redirect(EPOCH))
     )
     assert one.counts == {"dropped.version": 1, "dropped.foreign": 1} and not one.addresses
