--- a/lupintack/fleet/budget_leases.py
+++ b/lupintack/fleet/budget_leases.py
@@ -47,16 +47,16 @@
         WARMING_CACHES_PREFIX + site: measured.warming_cache_share,
         WARMING_PARENTS_BUDGET: measured.warming_parent_share,
     }
-    found = []
-    for budget, last in zip(budgets, previous, strict=True):
+    demands = []
+    for budget, previous_units in zip(budgets, previous, strict=True):
         if budget.name == ORIGIN_FILLS_BUDGET:
             units = math.ceil(measured.origin_fills * DEMAND_HEADROOM)
         elif budget.name in shares:
             units = math.ceil(shares[budget.name] * budget.total_units * DEMAND_HEADROOM)
         else:
             units = 0 if budget.name.startswith(WARMING_CACHES_PREFIX) else budget.total_units
-        found.append(smooth_demand(last, min(budget.total_units, units)))
-    return tuple(found)
+        demands.append(smooth_demand(previous_units, min(budget.total_units, units)))
+    return tuple(demands)
 
 
 def in_use(budgets: Sequence[Budget], measured: MeasuredDemand) -> tuple[int, ...]:
--- a/lupintack/fleet/budget_levels.py
+++ b/lupintack/fleet/budget_levels.py
@@ -127,8 +127,8 @@
     def __init__(self, router: RouterIdentity, plan: RegionPlan, codec: MessageCodec, now: int) -> None:
         """A router of this plan's region."""
         self.budgets, self.plan = plan.budgets, plan
-        voter = router.name in plan.region.voters
-        self.reservations = plan.name_reservations if voter else (0,) * len(plan.budgets)
+        is_voter = router.name in plan.region.voters
+        self.reservations = plan.name_reservations if is_voter else (0,) * len(plan.budgets)
         self.codec = TwoLevelCodec(codec, plan.region.name, plan.fleet_wide, len(plan.budgets))
         self.node = TwoLevelNode(
             router.name, router.start, router.voters, plan, router.terms, Random(router.start), now
@@ -171,12 +171,12 @@
         node = self.node
         if not node.region.is_allocator(now):
             return None
-        wide = self.plan.fleet_wide
+        fleet_wide = self.plan.fleet_wide
         return {
             "ends_ms": max(0, node.fleet.holder.until_us - now) // 1000,
             "amounts": list(node.fleet.leased_amounts(now)),
             "covered": list(node.parent.covered),
-            "reserved": list(self.plan.region_pool[:wide]),
+            "reserved": list(self.plan.region_pool[:fleet_wide]),
         }
 
 
@@ -196,11 +196,11 @@
 
 def allocation_status(node: BudgetNode, now: int) -> dict[str, Any]:
     """Return who allocates at a level, as far as this process knows, and whom it promised its vote."""
-    allocates = node.is_allocator(now)
+    is_allocator = node.is_allocator(now)
     return {
         "epoch": list(node.leader) if node.leader is not None else None,
-        "divides": allocates,
-        "ready": allocates and node.allocator is not None and now >= node.allocator.ready_us,
+        "divides": is_allocator,
+        "ready": is_allocator and node.allocator is not None and now >= node.allocator.ready_us,
         "votes_for": list(node.voter.promised_to(now) or ()) if node.voter is not None else None,
     }
 
@@ -212,10 +212,10 @@
     return list(node.allocator.allocated())
 
 
-def as_level_actions(found: LevelActions | Actions) -> LevelActions:
+def as_level_actions(node_actions: LevelActions | Actions) -> LevelActions:
     """Return the actions of one level as those of the fleet's level."""
-    if isinstance(found, LevelActions):
-        return found
+    if isinstance(node_actions, LevelActions):
+        return node_actions
     actions = LevelActions()
-    actions.add(Level.FLEET, found)
+    actions.add(Level.FLEET, node_actions)
     return actions
--- a/lupintack/fleet/budgets.py
+++ b/lupintack/fleet/budgets.py
@@ -65,7 +65,7 @@
         have two levels, and `budgets` and `names` are the plan's.
         """
         self.on_lease_change, self.request_demand = on_lease_change, request_demand
-        self.last: tuple[tuple[int, ...], int] = ((), 0)
+        self.last_notified: tuple[tuple[int, ...], int] = ((), 0)
         # At least twice between two lease requests.
         self.demand_interval_us = min(MAX_DEMAND_INTERVAL_US, terms.request_interval_us // 3)
         self.demand: tuple[int, ...] = ()
@@ -103,8 +103,8 @@
     def run(self) -> None:
         """Run ticks until the service is closed."""
         while not self.stopped.is_set():
-            wait = self.step() - now_us()
-            if self.wake.wait(min(MAX_WAIT_S, max(0.0005, wait / 1e6))):
+            wait_us = self.step() - now_us()
+            if self.wake.wait(min(MAX_WAIT_S, max(0.0005, wait_us / 1e6))):
                 self.wake.clear()
 
     def step(self) -> int:
@@ -113,7 +113,7 @@
         try:
             if now >= self.node.wake_us:
                 self.call(self.node.tick)
-            elif 0 < self.last[1] <= now:
+            elif 0 < self.last_notified[1] <= now:
                 self.call(lambda now: Actions())  # the lease has expired, which is a change
             if now >= self.demand_requested_us + self.demand_interval_us:
                 self.demand_requested_us = now
@@ -126,15 +126,15 @@
     @property
     def next_step_us(self) -> int:
         """When the next step is due, in microseconds."""
-        ends = self.last[1] or self.node.wake_us
-        return min(self.node.wake_us, ends, self.demand_requested_us + self.demand_interval_us)
+        lease_end_us = self.last_notified[1] or self.node.wake_us
+        return min(self.node.wake_us, lease_end_us, self.demand_requested_us + self.demand_interval_us)
 
     def on_datagram(self, raw: bytes) -> None:
         """Handle a datagram."""
         try:
             datagram = self.levels.decode(raw)
-        except MessageError as bad:
-            self.counts[f"dropped.{bad.reason.value}"] += 1
+        except MessageError as error:
+            self.counts[f"dropped.{error.reason.value}"] += 1
             return
         self.addresses.pop(datagram.sender, None)
         if len(self.addresses) >= MAX_ADDRESSES:  # forget the sender that was silent for longest
@@ -143,7 +143,7 @@
         self.call(datagram.call)
         self.wake.set()
 
-    def call(self, what: Callable[[int], LevelActions | Actions]) -> None:
+    def call(self, method: Callable[[int], LevelActions | Actions]) -> None:
         """Call the node, and perform its actions in their order; promises are stored under the lock."""
         with self.lock:
             now = now_us()
@@ -151,41 +151,45 @@
             if self.demand:
                 # Units in use that the reservation covers need no lease. Reported as in use under one, they
                 # would be granted to nobody for as long as demand lasts.
-                in_use = tuple(max(0, out - own) for out, own in zip(self.in_use, floor, strict=True))
+                in_use = tuple(
+                    max(0, used - reserved) for used, reserved in zip(self.in_use, floor, strict=True)
+                )
                 self.node.set_demand(self.demand, in_use)
-            out = as_level_actions(what(now))
-            sends = self.store_promises(out)
+            actions = as_level_actions(method(now))
+            sends = self.store_promises(actions)
             holder = self.node.holder
             lease = (holder.until_us, holder.amounts)
             if self.node.has_lease and (not self.leases or lease != self.leases[-1][1:]):
                 self.leases.append((now, *lease))
             self.limiter.set_amounts(holder.amounts, holder.until_us, floor, now)
             leased = self.node.leased_amounts(now)
-            held = tuple(map(sum, zip(leased, floor, strict=True))), holder.until_us if any(leased) else 0
-            if held != self.last:
+            usable = tuple(map(sum, zip(leased, floor, strict=True))), holder.until_us if any(leased) else 0
+            if usable != self.last_notified:
                 # Under the lock, so that changes are notified in their order.
-                self.last = held
-                self.on_lease_change(*held)
+                self.last_notified = usable
+                self.on_lease_change(*usable)
         for send in sends:
             self.counts[f"sent.{type(send.message).__name__.lower()}"] += 1
             raw = self.levels.encode(self.name, self.address, send)
             self.send(send.to, self.addresses.get(send.to, ""), raw)
-        for one in out.events:
-            level = {"budget_level": one.level.value} if len(self.vote_files.groups) > 1 else {}
-            LOG.info(one.event, extra=fields(budgets=len(self.budgets), epoch=one.detail, **level))
+        for level_event in actions.events:
+            level = {"budget_level": level_event.level.value} if len(self.vote_files.groups) > 1 else {}
+            LOG.info(
+                level_event.event, extra=fields(budgets=len(self.budgets), epoch=level_event.detail, **level)
+            )
 
-    def store_promises(self, out: LevelActions) -> list[LevelSend]:
+    def store_promises(self, actions: LevelActions) -> list[LevelSend]:
         """Store the promises, and return what may be sent: no vote of a level whose file can't be written."""
         unstored = set()
-        for promise in out.promises:
-            if not self.vote_files.write(promise.level, promise.promise):
-                unstored.add(promise.level)
-                if promise.level in self.vote_files.paths:
+        for level_promise in actions.promises:
+            if not self.vote_files.write(level_promise.level, level_promise.promise):
+                unstored.add(level_promise.level)
+                if level_promise.level in self.vote_files.paths:
                     self.counts["unkept"] += 1
         return [
-            one
-            for one in out.sends
-            if one.level not in unstored or not isinstance(one.message, VoteRequest | VoteReply)
+            send
+            for send in actions.sends
+            if send.level not in unstored or not isinstance(send.message, VoteRequest | VoteReply)
         ]
 
     def set_demand(self, demand: tuple[int, ...], in_use: tuple[int, ...]) -> None:
@@ -206,18 +210,18 @@
             self.node.rejoin(now_us())
         self.wake.set()
 
-    def spend(self, wants: dict[str, int]) -> str:
+    def spend(self, units_by_budget: dict[str, int]) -> str:
         """Spend units of several budgets or none; return the budget that lacks units, "" where none does."""
         with self.lock:
-            lacking = self.limiter.spend(wants, now_us())
-        self.counts["refused" if lacking else "spent"] += 1
-        return lacking
+            exhausted_budget = self.limiter.spend(units_by_budget, now_us())
+        self.counts["refused" if exhausted_budget else "spent"] += 1
+        return exhausted_budget
 
     def status(self) -> dict[str, Any]:
         """Return the budgets' state for operators: totals, allocations, leases and who allocates."""
         with self.lock:
             now, node = now_us(), self.levels.holder_node
-            divided = allocated_units(node, now)
+            allocated = allocated_units(node, now)
             return {
                 "now_us": now,
                 "start": node.start,
@@ -232,11 +236,11 @@
                         "floor": self.reservation(now)[n],
                         "lease": node.leased_amounts(now)[n],
                         "need": node.demand[n],
-                        "given": divided[n] if divided is not None else None,
+                        "given": allocated[n] if allocated is not None else None,
                     }
                     for n, budget in enumerate(self.budgets)
                 ],
-                "leases": [list(one) for one in self.leases],
+                "leases": [list(lease) for lease in self.leases],
                 "counts": dict(sorted(self.counts.items())),
             }
 
--- a/lupintack/fleet/exchange.py
+++ b/lupintack/fleet/exchange.py
@@ -209,10 +209,10 @@
         if not connection.write_buffer and connection.on_frame is None:
             self._close(connection)  # the exchange is complete
             return
-        wanted = (selectors.EVENT_WRITE if connection.write_buffer else 0) | (
+        interest = (selectors.EVENT_WRITE if connection.write_buffer else 0) | (
             selectors.EVENT_READ if connection.on_frame else 0
         )
-        self.selector.modify(connection.sock, wanted or selectors.EVENT_READ)
+        self.selector.modify(connection.sock, interest or selectors.EVENT_READ)
 
     def _transfer(self, connection: ExchangeConnection, events: int) -> bool:
         """Write and read what is possible; return whether the connection stays open."""
--- a/lupintack/fleet/fleet_address.py
+++ b/lupintack/fleet/fleet_address.py
@@ -42,5 +42,5 @@
         except OSError as error:
             datagrams.close()
             listener.close()
-            last = error
-    raise ConfigError(f"[membership] listen: can't listen at {host}:{configured_port}: {last.strerror}")
+            last_error = error
+    raise ConfigError(f"[membership] listen: can't listen at {host}:{configured_port}: {last_error.strerror}")
--- a/lupintack/fleet/start.py
+++ b/lupintack/fleet/start.py
@@ -105,8 +105,8 @@
         core.enqueue(SettingsUpdate(leases=core_leases(budgets, amounts, until_us, site)))
 
     def report_demand(measured: MeasuredDemand) -> None:
-        before = service.demand or tuple(budget.total_units for budget in budgets)
-        service.set_demand(demand(budgets, measured, before, site), in_use(budgets, measured))
+        previous = service.demand or tuple(budget.total_units for budget in budgets)
+        service.set_demand(demand(budgets, measured, previous, site), in_use(budgets, measured))
 
     service = BudgetService(
         config.name,
--- a/lupintack/fleet/vote_files.py
+++ b/lupintack/fleet/vote_files.py
@@ -68,12 +68,12 @@
         path = self.paths.get(level)
         if path is None:
             return False
-        new_path = path.with_suffix(".new")
+        temporary_path = path.with_suffix(".new")
         try:
-            new_path.write_bytes(
+            temporary_path.write_bytes(
                 vote_file.encode_promise(promise, self.name, self.groups[level], self.boot_id)
             )
-            os.replace(new_path, path)
+            os.replace(temporary_path, path)
         except OSError as error:
             LOG.error("a promise can't be kept, and isn't given", extra=fields(reason=error))
             return False
--- a/lupintack/membership/detector.py
+++ b/lupintack/membership/detector.py
@@ -91,11 +91,11 @@
 
     def observe(self, names: Iterable[str], now_us: int) -> None:
         """Observe exactly these routers; a new one counts as seen now."""
-        wanted = dict.fromkeys(names)
-        for name in [name for name in self.observed if name not in wanted]:
+        unique_names = dict.fromkeys(names)
+        for name in [name for name in self.observed if name not in unique_names]:
             del self.observed[name]
         interval_us = self.config.probe_interval_us
-        for name in wanted:
+        for name in unique_names:
             if name not in self.observed:
                 first_us = now_us + int(self.random.random() * interval_us)
                 self.observed[name] = ObservedRouter(
--- a/lupintack/membership/messages.py
+++ b/lupintack/membership/messages.py
@@ -145,12 +145,12 @@
 
     def decode_full_state(self, raw: bytes) -> FullState:
         """Return the message of an exchange; MessageError for anything else."""
-        found: FullState = self._decode(raw, self.full_state_decoder)
-        if len(found.records) > MAX_FULL_STATE_RECORDS:
-            raise MessageError(DropReason.UNREADABLE, f"{len(found.records)} records")
-        for record in (found.sender, *found.records):
+        full_state: FullState = self._decode(raw, self.full_state_decoder)
+        if len(full_state.records) > MAX_FULL_STATE_RECORDS:
+            raise MessageError(DropReason.UNREADABLE, f"{len(full_state.records)} records")
+        for record in (full_state.sender, *full_state.records):
             parse_record(record)
-        return found
+        return full_state
 
     def _decode(self, raw: bytes, decoder: msgspec.msgpack.Decoder[T]) -> T:
         if len(raw) < HEADER_BYTES or raw[:1] != MAGIC:
--- a/lupintack/membership/observers.py
+++ b/lupintack/membership/observers.py
@@ -70,7 +70,7 @@
         return self._neighbours(name, skipped, step=-1, include_skipped=False)
 
     def _neighbours(self, name: str, skipped: Collection[str], step: int, include_skipped: bool) -> list[str]:
-        found: dict[str, None] = {}
+        neighbours: dict[str, None] = {}
         for ring, position in zip(self.rings, ring_positions(name), strict=False):
             size = len(ring)
             index = bisect_left(ring, (position, name))
@@ -80,8 +80,8 @@
                 other = ring[index % size][1]
                 index += step
                 if other not in skipped:
-                    found[other] = None
+                    neighbours[other] = None
                     break
                 if include_skipped:
-                    found[other] = None
-        return list(found)
+                    neighbours[other] = None
+        return list(neighbours)
--- a/lupintack/membership/suspicions.py
+++ b/lupintack/membership/suspicions.py
@@ -64,8 +64,10 @@
             record = state.mark(record, State.SUSPECT, now_us)
             state.reasons[subject.name] = _reason(state.name, subject.is_unreachable)
         silent_us = now_us - subject.last_seen_us
-        own = FailureReport(record.start, record.incarnation, subject.is_unreachable, silent_us, now_us)
-        state.arbiter.add_report(state.name, subject.name, own)
+        own_report = FailureReport(
+            record.start, record.incarnation, subject.is_unreachable, silent_us, now_us
+        )
+        state.arbiter.add_report(state.name, subject.name, own_report)
         interval_us = self.config.report_interval_us
         if now_us - state.reported_us.get(subject.name, -interval_us) < interval_us:
             return None
@@ -75,10 +77,10 @@
         )
 
     def _send_reports(self, reports: dict[str, list[SuspicionReport]]) -> None:
-        for observer, subjects in reports.items():
+        for observer, subject_reports in reports.items():
             address = self.state.view.records[observer].address
-            for first in range(0, len(subjects), MAX_REPORTS_PER_MESSAGE):
-                batch = subjects[first : first + MAX_REPORTS_PER_MESSAGE]
+            for first in range(0, len(subject_reports), MAX_REPORTS_PER_MESSAGE):
+                batch = subject_reports[first : first + MAX_REPORTS_PER_MESSAGE]
                 self.outbox.send(observer, address, MessageKind.REPORT, reports=batch)
 
     def on_reports(self, message: Message, now_us: int) -> None:
@@ -120,7 +122,7 @@
             self.outbox.push_gossip(now_us, self.config.push_fanout)
 
     def _suspicions(self) -> list[Suspicion]:
-        found = []
+        suspicions = []
         for name in self.state.arbiter.reports:
             record = self.state.view.records.get(name)
             if record is None or record.state is not State.SUSPECT:
@@ -129,8 +131,8 @@
             if self.state.name in observers:
                 recoveries = min(MAX_RECOVERY_EXPONENT, len(self.state.recoveries.get(name, ())))
                 factor = self.config.recovery_timeout_factor**recoveries
-                found.append(Suspicion(name, record.start, record.incarnation, observers, factor))
-        return found
+                suspicions.append(Suspicion(name, record.start, record.incarnation, observers, factor))
+        return suspicions
 
     def _is_unsettled(self, now_us: int) -> bool:
         """Whether suspicions still arise, so that the extent of a cut is not known yet."""
--- a/lupintack/membership/view.py
+++ b/lupintack/membership/view.py
@@ -141,9 +141,9 @@
         """Return whether a name is a member's."""
         return name in self.names
 
-    def newer_than(self, theirs: Iterable[Record]) -> list[Record]:
+    def newer_than(self, other_records: Iterable[Record]) -> list[Record]:
         """Return the records that win over theirs, or that they lack."""
-        known = {record.name: record for record in theirs}
+        known = {record.name: record for record in other_records}
         return [
             record
             for record in self.records.values()
