--- a/lupintack/membership/__init__.py
+++ b/lupintack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: views, failure detection, gossip and messages of one router, without any I/O."""
+"""Fleet membership of one router: views, failure detection, gossip and messages, without I/O."""
--- a/lupintack/membership/actions.py
+++ b/lupintack/membership/actions.py
@@ -1,4 +1,4 @@
-"""Work that the membership asks its caller to carry out."""
+"""Actions that the membership returns for its caller to execute."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 class Datagram(NamedTuple):
     """A message to one router."""
 
-    name: str  # empty for a seed whose name is not known yet
+    name: str  # empty for a seed whose name is still unknown
     address: str
     message: Message
 
 
 class ConnectionProbe(NamedTuple):
-    """A TCP connect that shows whether the process is gone: only a refusal counts."""
+    """A TCP connection attempt to check that a process still listens; only a refusal is evidence."""
 
     name: str
     start: int
@@ -26,16 +26,16 @@
 
 
 class Exchange(NamedTuple):
-    """A full-state exchange to begin."""
+    """A full-state exchange to start."""
 
-    name: str  # empty for a seed whose name is not known yet
+    name: str  # empty for a seed whose name is still unknown
     address: str
     full_state: FullState
 
 
 @dataclass(slots=True)
 class Actions:
-    """The result of one call into the membership, in the order in which it is carried out."""
+    """The actions of one call into the membership, executed in the order of the fields."""
 
     sends: list[Datagram] = field(default_factory=list)
     connection_probes: list[ConnectionProbe] = field(default_factory=list)
--- a/lupintack/membership/anti_entropy.py
+++ b/lupintack/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: full-state exchanges with diverged views, joining by the seeds, probes of failed routers."""
+"""Anti-entropy: full-state exchanges of diverged views, joining through seeds, probes of failed routers."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 if TYPE_CHECKING:
     from random import Random
 
-FAILED_PROBE_INTERVAL_US = 10_000_000  # a failed router may be beyond a cut that has healed
-MAX_JOIN_BACKOFF = 8  # in multiples of the first interval
-MEMBERS_PER_SEED_PING = 6  # keeps a seed of a large fleet from being pinged by everybody at once
+FAILED_PROBE_INTERVAL_US = 10_000_000  # a failed router is reachable again once a network partition heals
+MAX_JOIN_BACKOFF = 8  # as a multiple of `join_interval_us`
+MEMBERS_PER_SEED_PING = 6  # limits the rate of pings that a seed of a large fleet receives
 
 
 class AntiEntropy:
-    """What brings views together that gossip alone would leave apart."""
+    """Reconciles views that gossip alone would leave different."""
 
     def __init__(self, state: LocalState, outbox: Outbox, random: Random, seeds: Sequence[str]) -> None:
-        """Begin with the addresses of the configured seeds."""
+        """Start with the addresses of the configured seeds."""
         self.state = state
         self.config = state.config
         self.outbox = outbox
         self.random = random
         self.seeds = tuple(seeds)
-        self.diverged_since_us = 0  # since when others count other processes; 0: they don't
+        self.diverged_since_us = 0  # since when other views have differed; 0: they agree
         self.last_divergence_us = 0
         self.diverged_from = ""
         self.next_exchange_us = 0
@@ -38,23 +38,23 @@
         self.join_backoff_us = self.config.join_interval_us
 
     def start(self, now_us: int) -> None:
-        """Begin to join, and to probe failed routers."""
+        """Schedule the first join attempt and the first probe of a failed router."""
         self.next_join_us = now_us
         self.next_failed_probe_us = now_us + FAILED_PROBE_INTERVAL_US
 
     def _jittered(self, interval_us: int) -> int:
-        """Return between three and five quarters of an interval, so that routers don't act in step."""
+        """Return 75 to 125 percent of an interval, so that routers don't act in step."""
         return int(interval_us * (0.75 + self.random.random() / 2))
 
     def on_local_pause(self) -> None:
-        """Forget a divergence: what was missed is on its way."""
+        """Reset the divergence: messages missed during the pause are still being received."""
         self.diverged_since_us = 0
 
     def track_divergence(self, message: Message, now_us: int) -> None:
-        """Register whether the sender counts the same processes, and since when some routers have not.
+        """Compare the sender's view with the local one, and record since when views have differed.
 
-        The divergence ends only when no router differs for a while: two routers that are wrong alike must not
-        hide from one another what the others send.
+        The divergence ends only after no differing view was received for two probe intervals: matching
+        messages from a router with the same wrong view must not hide that the others differ.
         """
         if message.view_id != self.state.view.id:
             self.diverged_since_us = self.diverged_since_us or now_us
@@ -63,9 +63,9 @@
             self.diverged_since_us = 0
 
     def reconcile(self, now_us: int) -> None:
-        """Exchange full states when views differ for long, and probe a failed router now and then."""
+        """Exchange full states after a lasting divergence, and probe a failed router at intervals."""
         if self.diverged_since_us:
-            # While the own view changes, what is missing is on its way already.
+            # While the local view still changes, gossip may be delivering the missing records.
             stable_since_us = max(self.diverged_since_us, self.state.view_changed_us)
             if now_us - stable_since_us >= self.config.divergence_us and now_us >= self.next_exchange_us:
                 self._exchange_with_diverged(now_us)
@@ -96,10 +96,10 @@
         return self.state.me.state is State.JOINING or len(self.state.view.names) < 2
 
     def join(self, now_us: int) -> None:
-        """Contact a seed: by an exchange while this router is alone, by a ping otherwise.
+        """Contact a seed: with a full-state exchange while this router is alone, otherwise with a ping.
 
-        The pings guard against separate fleets: routers that start together may each find only some others,
-        and no router of one part ever contacts the other part.
+        The pings prevent separate fleets: routers that start at the same time may each find only some of
+        the others, and no router of one group would ever contact another group.
         """
         if not self.seeds or now_us < self.next_join_us:
             return
@@ -114,5 +114,5 @@
         self.join_backoff_us = min(self.join_backoff_us * 2, self.config.join_interval_us * max_backoff)
 
     def wake_us(self) -> int:
-        """Return when the next attempt to join is due; 0 for a router that has joined."""
+        """Return when the next join attempt is due, or 0 for a router that has joined."""
         return self.next_join_us if self.seeds and self._is_alone() else 0
--- a/lupintack/membership/counts.py
+++ b/lupintack/membership/counts.py
@@ -1,7 +1,8 @@
-"""The number of routers that share a budget: increased at once, decreased late and only when certain.
+"""The number of routers that share a budget: increased immediately, decreased late and only when certain.
 
-A router that seems to have failed may only be unreachable. It is counted until its leases have run out, and
-so are all while this router may be on the smaller side of a cut. An error only ever wastes budget.
+A router that appears to have failed may only be unreachable, so it is counted until its leases have expired.
+While this router may be on the smaller side of a network partition, no router is removed. A wrong count can
+only leave budget unused.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
     siblings: int
     by_zone: tuple[int, ...]
-    position: int  # of this router among the sorted names
+    position: int  # of this router in the sorted names
 
 
 class RouterCounter:
-    """The routers that may be alive, each until it was surely absent for the removal delay."""
+    """The routers that may be alive, each until it was certainly absent for the removal delay."""
 
     def __init__(
         self, name: str, site: str, sites: tuple[str, ...], removal_delay_us: int = REMOVAL_DELAY_US
@@ -33,7 +34,7 @@
         self.sites = sites
         self.removal_delay_us = removal_delay_us
         self.counted: dict[str, str] = {name: site}
-        self.absent_since_us: dict[str, int] = {}  # routers that are counted and no longer members
+        self.absent_since_us: dict[str, int] = {}  # counted routers that are no longer members
         self.is_certain = False
         self.published: FleetCounts | None = None
 
@@ -49,11 +50,11 @@
                 self.absent_since_us.setdefault(name, now_us)
 
     def counts_to_publish(self, now_us: int) -> FleetCounts | None:
-        """Return the counts when they differ from those returned last, else None."""
+        """Return the counts if they differ from the last ones returned, else None."""
         if self.is_certain:
             self._remove_absent(now_us)
         else:
-            # A removal delay must not run out while no router could have been received.
+            # The removal delay restarts: an absent router may be alive and only unreachable.
             self.absent_since_us = dict.fromkeys(self.absent_since_us, now_us)
         names = sorted(self.counted)
         by_zone = tuple(sum(site == zone for site in self.counted.values()) for zone in self.sites)
--- a/lupintack/membership/detector.py
+++ b/lupintack/membership/detector.py
@@ -1,7 +1,8 @@
-"""Failure detector of one router: its health checks of the observed routers and what they show.
+"""Failure detector of one router: health checks of the routers that it observes, and their results.
 
-Any sign of life ends a suspicion, whoever forwarded it. A router that was paused, or whose probes mostly stay
-unanswered, distrusts itself first: its timeouts grow, and after a pause it listens before it reports anybody.
+Any message from a router, direct or relayed, ends its suspicion. A router that was paused, or most of whose
+probes are unanswered, assumes a local problem first: its timeouts grow, and after a pause it only listens for
+a while before it reports other routers.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-MAX_OPEN_PROBES = 5  # of one subject; later acks of older probes are ignored
+MAX_OPEN_PROBES = 5  # per subject; acks of older probes are ignored
 MIN_PROBES_PER_ROUND = 4
 PAUSE_HEALTH_STEPS = 2
 RTT_GAIN = 0.125
@@ -24,10 +25,10 @@
 
 
 class LocalHealth:
-    """The health of this router itself, from 0 for healthy up to a maximum."""
+    """The health score of this router itself, from 0 (healthy) to a maximum."""
 
     def __init__(self, max_score: int) -> None:
-        """Begin healthy."""
+        """Start healthy."""
         self.max_score = max_score
         self.score = 0
 
@@ -41,7 +42,7 @@
 
     @property
     def timeout_factor(self) -> float:
-        """The factor by which all timeouts are lengthened."""
+        """The factor by which all timeouts are multiplied."""
         return 1.0 + self.score / 2.0
 
 
@@ -49,7 +50,7 @@
     """The next step of a probe."""
 
     PING = auto()
-    INDIRECT = auto()  # the ack is late: ask other routers to ping, and probe the connection
+    INDIRECT = auto()  # the ack is late: request pings by other routers, and probe the connection
 
 
 class Probe(NamedTuple):
@@ -62,35 +63,35 @@
 
 @dataclass(slots=True)
 class ObservedRouter:
-    """The subject of this router's probes."""
+    """A router that this router probes, and the state of its probes."""
 
     name: str
-    last_seen_us: int  # the last sign of life
+    last_seen_us: int  # when the last message from it was received
     next_probe_us: int
     rtt_us: float
     rtt_variance_us: float
-    ack_due_us: int = 0  # 0: no ack is awaited, or indirect probes were sent already
+    ack_due_us: int = 0  # 0: no ack is pending, or indirect probes were already sent
     nonce: int = 0
-    open_probes: dict[int, int] = field(default_factory=dict)  # when sent, by nonce
-    is_unreachable: bool = False  # a connection was refused since the last sign of life
+    open_probes: dict[int, int] = field(default_factory=dict)  # send time by nonce
+    is_unreachable: bool = False  # a connection was refused since `last_seen_us`
     missed_ack: bool = False
 
 
 class FailureDetector:
-    """The probes of one router, and the round trips, silence and refusals of those that it observes."""
+    """The probes of one router, and the round trips, silence and refused connections of its subjects."""
 
     def __init__(self, config: MembershipConfig, random: Random) -> None:
-        """Begin without anybody to observe."""
+        """Start with no observed routers."""
         self.config = config
         self.random = random
         self.health = LocalHealth(config.max_health_score)
         self.observed: dict[str, ObservedRouter] = {}
-        self.suspects: frozenset[str] = frozenset()  # of the whole fleet, when observers were last assigned
+        self.suspects: frozenset[str] = frozenset()  # of the fleet, at the last update of `observed`
         self.probes_counted = 0
         self.probes_missed = 0
 
     def observe(self, names: Iterable[str], now_us: int) -> None:
-        """Observe exactly these routers; a new one counts as seen now."""
+        """Replace the observed routers; a new one counts as seen at `now_us`."""
         unique_names = dict.fromkeys(names)
         for name in [name for name in self.observed if name not in unique_names]:
             del self.observed[name]
@@ -103,14 +104,14 @@
                 )
 
     def due_probes(self, now_us: int) -> list[Probe]:
-        """Return the pings to send, and the subjects whose ack is late."""
+        """Return the pings to send, and indirect probes of the subjects whose ack is late."""
         probes: list[Probe] = []
         for subject in self.observed.values():
             if subject.ack_due_us and now_us >= subject.ack_due_us:
                 subject.ack_due_us, subject.missed_ack = 0, True
                 probes.append(Probe(ProbeAction.INDIRECT, subject.name, subject.nonce))
             if now_us >= subject.next_probe_us:
-                if subject.ack_due_us:  # the interval has passed before the ack's timeout
+                if subject.ack_due_us:  # the probe interval ended before the ack timeout
                     subject.missed_ack = True
                     probes.append(Probe(ProbeAction.INDIRECT, subject.name, subject.nonce))
                 self._update_health(subject)
@@ -129,10 +130,10 @@
         return Probe(ProbeAction.PING, subject.name, subject.nonce)
 
     def _update_health(self, subject: ObservedRouter) -> None:
-        """Count a finished probe; a round of which more than half were missed points at this router.
+        """Count a finished probe; a round with more than half of its acks missing degrades the local health.
 
-        Routers that others suspect as well don't count: with a part of the fleet cut off, longer timeouts
-        would delay the detection of the rest.
+        Routers that others suspect as well are not counted: when a part of the fleet is cut off, longer
+        timeouts would delay the detection of its remaining routers.
         """
         missed = subject.missed_ack and not subject.is_unreachable
         subject.missed_ack = False
@@ -149,12 +150,12 @@
         self.probes_counted = self.probes_missed = 0
 
     def ack_timeout_us(self, subject: ObservedRouter) -> int:
-        """Return the timeout of an ack, from the round trips measured and this router's health."""
+        """Return the ack timeout, from the measured round trips and the health of this router."""
         expected_us = max(self.config.min_ack_timeout_us, subject.rtt_us + 4.0 * subject.rtt_variance_us)
         return int(min(expected_us * self.health.timeout_factor, self.config.max_ack_timeout_us))
 
     def on_ack(self, name: str, nonce: int, now_us: int, is_indirect: bool = False) -> bool:
-        """Handle an ack, also a late one; return False for one that answers no open probe."""
+        """Handle an ack, also a late one; return False for an ack that matches no open probe."""
         subject = self.observed.get(name)
         sent_us = subject.open_probes.pop(nonce, None) if subject is not None else None
         if subject is None or sent_us is None:
@@ -170,19 +171,19 @@
         return True
 
     def mark_alive(self, name: str, now_us: int) -> None:
-        """Register a sign of life."""
+        """Register a message from a router."""
         subject = self.observed.get(name)
         if subject is not None:
             subject.last_seen_us, subject.is_unreachable, subject.missed_ack = now_us, False, False
 
     def mark_unreachable(self, name: str) -> None:
-        """Register a refused connection: no process listens there."""
+        """Register a refused connection: no process listens at the address."""
         subject = self.observed.get(name)
         if subject is not None:
             subject.is_unreachable = True
 
     def probe_now(self, name: str, now_us: int) -> None:
-        """Probe a router without delay, because others suspect it."""
+        """Probe a router immediately, because other observers suspect it."""
         subject = self.observed.get(name)
         if subject is not None and not subject.ack_due_us:
             subject.next_probe_us = min(subject.next_probe_us, now_us)
@@ -202,7 +203,7 @@
         return now_us - subject.last_seen_us >= max(timeout_us, round_trip_us)
 
     def on_local_pause(self, gap_us: int, now_us: int) -> None:
-        """Discount a pause of this process, in which it could not receive any sign of life."""
+        """Exclude a pause of this process from the silence of others: it could not receive messages."""
         self.health.degrade(PAUSE_HEALTH_STEPS)
         for subject in self.observed.values():
             subject.last_seen_us = min(now_us, subject.last_seen_us + gap_us)
@@ -210,7 +211,7 @@
             subject.next_probe_us = now_us + int(self.random.random() * self.config.probe_interval_us / 4)
 
     def wake_us(self) -> int:
-        """Return when something is due next; 0 with nobody to observe."""
+        """Return when the next probe or ack timeout is due, or 0 with no observed routers."""
         return min(
             (
                 min(subject.next_probe_us, subject.ack_due_us or subject.next_probe_us)
--- a/lupintack/membership/failure_arbiter.py
+++ b/lupintack/membership/failure_arbiter.py
@@ -1,7 +1,8 @@
-"""Decision that a router has failed: a quorum of its observers reports it, for long enough.
+"""Decides that a router has failed: when a quorum of its observers has reported it for long enough.
 
-A single observer may have lost its own links. So the observers of a subject exchange reports, and each
-decides by the reports of all. Decisions that are near one another are grouped: a lost site is one change.
+A single observer may have lost its own links. Therefore the observers of a subject exchange reports, and each
+decides on the reports of all of them. Decisions made close together in time are grouped, so that the loss of
+a site is one change.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from lupintack.membership.view import State
 
 MIN_QUORUM = 2
-MIN_SITES = 2  # whose observers must agree, where the subject's observers are in so many
+MIN_SITES = 2  # of the agreeing observers, where the subject's observers are in at least two sites
 
 
 @dataclass(frozen=True, slots=True)
 class FailureReport:
-    """An observer's report on one process, and when it came here."""
+    """An observer's report on one process, and when it was received."""
 
     start: int
     incarnation: int
@@ -29,13 +30,13 @@
     received_us: int
 
     def silence_us(self, now_us: int) -> int:
-        """Return the silence by now."""
+        """Return the duration of the silence at `now_us`."""
         return self.silent_us + now_us - self.received_us
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A suspected process, and the observers that may report it."""
+    """A suspected process, and the observers whose reports count."""
 
     name: str
     start: int
@@ -45,38 +46,38 @@
 
 
 class FailureDecision(NamedTuple):
-    """A suspect that is decided to have failed or ended."""
+    """A suspect for which `FAILED` or `ENDED` was decided."""
 
     name: str
     state: State
 
 
 class Assessment(NamedTuple):
-    """The state that a suspicion's reports prove, None for none; and whether a proof is near."""
+    """The state that the reports on a suspect prove, None for none, and whether a proof is expected soon."""
 
     state: State | None
     is_imminent: bool
 
 
 class FailureArbiter:
-    """The reports on the suspects that this router observes."""
+    """Collects the reports on the suspects that this router observes, and decides on them."""
 
     def __init__(self, config: MembershipConfig) -> None:
-        """Begin without reports."""
+        """Start without reports."""
         self.config = config
         self.reports: dict[str, dict[str, FailureReport]] = {}  # by subject, then by observer
         self.first_decision_us: int | None = None  # when the oldest pending decision became possible
 
     def add_report(self, observer: str, subject: str, report: FailureReport) -> None:
-        """Register a report in place of the observer's earlier one."""
+        """Store a report, replacing the observer's earlier one."""
         self.reports.setdefault(subject, {})[observer] = report
 
     def withdraw(self, subject: str) -> None:
-        """Discard the reports on a subject that is alive or decided."""
+        """Discard the reports on a subject that is alive or has been decided."""
         self.reports.pop(subject, None)
 
     def expire(self, now_us: int) -> None:
-        """Discard old reports."""
+        """Discard reports older than `report_ttl_us`."""
         ttl_us = self.config.report_ttl_us
         for subject, reports in list(self.reports.items()):
             recent = {
@@ -90,13 +91,13 @@
                 del self.reports[subject]
 
     def quorum(self, observer_count: int) -> int:
-        """Return how many of a subject's observers must agree."""
+        """Return the number of a subject's observers that must agree."""
         return max(min(MIN_QUORUM, observer_count), math.ceil(self.config.quorum_share * observer_count))
 
     def evaluate(
         self, suspicion: Suspicion, now_us: int, site_of: Callable[[str], str], may_not_decide: bool
     ) -> Assessment:
-        """Assess one suspicion; with `may_not_decide` only refused connections are a proof."""
+        """Assess one suspicion; with `may_not_decide`, only refused connections are a proof."""
         reports = self._valid_reports(suspicion)
         if not reports:
             return Assessment(None, False)
@@ -112,7 +113,7 @@
         timeout_us = self._timeout_us(suspicion, len(reports), quorum)
         silence_us = {observer: report.silence_us(now_us) for observer, report in reports.items()}
         silent = [observer for observer, silence in silence_us.items() if silence >= timeout_us]
-        # Silence may be a cut, and the routers on its smaller side must not remove the others.
+        # Silence may be a network partition, whose smaller side must not remove the other routers.
         has_failed = agree(silent) and not may_not_decide
         near_us = timeout_us - self.config.max_decision_delay_us
         is_imminent = len(unreachable) > 0 or any(silence >= near_us for silence in silence_us.values())
@@ -127,7 +128,7 @@
         }
 
     def _timeout_us(self, suspicion: Suspicion, report_count: int, quorum: int) -> float:
-        """Return the silence that proves a failure: the more observers agree, the shorter."""
+        """Return the silence that proves a failure: shorter the more observers agree."""
         longest_us, shortest_us = self.config.max_failure_timeout_us, self.config.failure_timeout_us
         beyond_quorum = max(1, len(suspicion.observers) - quorum)
         agreement = min(1.0, max(0, report_count - quorum) / beyond_quorum)
@@ -140,7 +141,10 @@
         site_of: Callable[[str], str],
         may_not_decide: bool,
     ) -> list[FailureDecision]:
-        """Return the routers that have failed or ended; none for a short while when others are near."""
+        """Return the routers that have failed or ended.
+
+        Decisions are delayed shortly, or longer while others are imminent, and returned together.
+        """
         decided, near_count = [], 0
         for suspicion in suspicions:
             assessment = self.evaluate(suspicion, now_us, site_of, may_not_decide)
@@ -160,7 +164,7 @@
         return decided
 
     def wake_us(self) -> int:
-        """Return when pending decisions are due; 0 for none."""
+        """Return when pending decisions are due, or 0 without any."""
         if self.first_decision_us is None:
             return 0
         return self.first_decision_us + self.config.decision_delay_us
--- a/lupintack/membership/gossip.py
+++ b/lupintack/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip queue: the changes that are piggybacked on other messages, each O(log n) times, newest first."""
+"""Gossip queue: changes piggybacked on other messages, each O(log n) times, the least sent first."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lupintack.membership.config import MembershipConfig
 from lupintack.membership.view import Record, State
 
-RECORD_OVERHEAD_BYTES = 26  # the most that a record takes beside its texts
+RECORD_OVERHEAD_BYTES = 26  # upper bound of an encoded record without its strings
 GOSSIP_PRIORITY = {
     State.FAILED: 0,
     State.ENDED: 0,
@@ -22,26 +22,26 @@
 
 @dataclass(slots=True)
 class QueuedRecord:
-    """A change, and how often it was sent."""
+    """A change, and the number of times it was sent."""
 
     record: Record
     times_sent: int = 0
 
     def priority(self) -> tuple[int, int, int]:
-        """Return the sort key: rarely sent first, removals before additions."""
+        """Return the sort key: least sent first, then removals before additions."""
         return self.times_sent // 2, GOSSIP_PRIORITY[self.record.state], self.times_sent
 
 
 def max_record_bytes(record: Record) -> int:
-    """Return an upper bound of a record's bytes in a message."""
+    """Return an upper bound of the encoded size of a record."""
     return RECORD_OVERHEAD_BYTES + len(record.name) + len(record.site) + len(record.address)
 
 
 class GossipQueue:
-    """The changes that are still being sent, one for each name: a newer one replaces it."""
+    """The changes still being sent, at most one for each name: a newer one replaces an older one."""
 
     def __init__(self, config: MembershipConfig) -> None:
-        """Begin empty."""
+        """Start empty."""
         self.config = config
         self.queued: dict[str, QueuedRecord] = {}
 
@@ -50,11 +50,11 @@
         self.queued[record.name] = QueuedRecord(record)
 
     def retransmit_limit(self, fleet_size: int) -> int:
-        """Return how often each change is sent."""
+        """Return the number of times that each change is sent."""
         return math.ceil(self.config.gossip_factor * math.log2(fleet_size + 2))
 
     def take(self, max_bytes: int, fleet_size: int) -> list[Record]:
-        """Return the changes to send now, by priority and as far as they fit; count them as sent."""
+        """Return the changes with the highest priority that fit into `max_bytes`, and count them as sent."""
         if not self.queued:
             return []
         records: list[Record] = []
--- a/lupintack/membership/local_state.py
+++ b/lupintack/membership/local_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of one router's membership share: its own record, the view and dependent tables."""
+"""State shared by the components of a router's membership: its own record, the view and dependent tables."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class LocalState:
-    """The view of one router, kept consistent with the rings, the arbiter and the notifier."""
+    """The view of one router, kept consistent with the observer rings, the arbiter and the notifier."""
 
     def __init__(self, me: Record, config: MembershipConfig) -> None:
-        """Begin as a joining router that knows nobody."""
+        """Start as a joining router with an empty view."""
         self.config = config
         self.name = me.name
         self.me = me._replace(state=State.JOINING)
@@ -23,22 +23,22 @@
         self.arbiter = FailureArbiter(config)
         self.gossip = GossipQueue(config)
         self.notifier = ChangeNotifier(config)
-        self.recoveries: dict[str, list[int]] = {}  # when routers that had failed here came back
-        self.reasons: dict[str, str] = {}  # for operators: who reported a router, and why
-        self.reported_us: dict[str, int] = {}  # when this router last reported a subject
+        self.recoveries: dict[str, list[int]] = {}  # times of the recoveries of removed routers, by name
+        self.reasons: dict[str, str] = {}  # for operators: the observers that reported a router, and why
+        self.reported_us: dict[str, int] = {}  # when this router last sent a report on a subject
         self.view_changed_us = 0
         self.observers_changed = True
-        self.listen_until_us = 0  # after a local pause nobody is suspected before this
-        self.is_silent = False  # superseded or left: nothing more is sent
+        self.listen_until_us = 0  # after a local pause no router is suspected before this time
+        self.is_silent = False  # superseded or left: no more messages are sent
         self.is_superseded = False
 
     def site_of(self, name: str) -> str:
-        """Return the site of a router, "" for an unknown one."""
+        """Return the site of a router, "" for an unknown router."""
         record = self.view.records.get(name)
         return record.site if record is not None else ""
 
     def merge(self, record: Record, now_us: int) -> bool:
-        """Merge a record into the view and all that depends on it; return whether anything changed."""
+        """Merge a record into the view and the dependent tables; return whether anything changed."""
         name = record.name
         old = self.view.records.get(name)
         if not self.view.merge(record, now_us):
@@ -66,27 +66,27 @@
         self.recoveries[name] = [*recent, now_us]
 
     def mark(self, record: Record, state: State, now_us: int) -> Record:
-        """Merge another router's record in a new state, queue it for gossip and return it."""
+        """Set another router's state: merge the changed record, queue it for gossip and return it."""
         changed = record._replace(state=state)
         self.merge(changed, now_us)
         self.gossip.add(changed)
         return changed
 
     def set_own_state(self, state: State, now_us: int) -> None:
-        """Change this router's own state, under its next incarnation."""
+        """Change this router's own state, with the next incarnation."""
         self.me = self.me._replace(state=state, incarnation=self.me.incarnation + 1)
         self.merge(self.me, now_us)
         self.gossip.add(self.me)
 
     def mark_alive(self, name: str) -> None:
-        """Withdraw this router's own report; the suspicion itself ends by the subject's refutation."""
+        """Withdraw this router's own report; the suspicion itself ends when the subject refutes it."""
         reports = self.arbiter.reports.get(name)
         if reports is not None:
             reports.pop(self.name, None)
         self.reported_us.pop(name, None)
 
     def expire(self, now_us: int) -> None:
-        """Forget routers that left or failed long ago."""
+        """Remove the records of routers that left or failed longer ago than the tombstone TTL."""
         for name in self.view.expire(now_us):
             self.recoveries.pop(name, None)
             self.reasons.pop(name, None)
--- a/lupintack/membership/messages.py
+++ b/lupintack/membership/messages.py
@@ -1,8 +1,8 @@
 """Messages between routers and their encoding: MessagePack behind a version and a keyed hash.
 
-A datagram is the magic byte `L`, the version, 12 bytes of keyed BLAKE2 over the rest, and the message as an
-array. Elements that a later version appends to an array are skipped. Whatever can't be decoded is dropped,
-with a reason.
+A datagram consists of the magic byte `L`, the version, 12 bytes of keyed BLAKE2 over the remaining bytes, and
+the message as an array. Elements that a later version appends to an array are skipped. A datagram that can't
+be decoded is dropped with a reason.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 MAGIC, VERSION, CODE_BYTES = b"L", 1, 12
 HEADER_BYTES = 2 + CODE_BYTES
-MAX_NAME_LENGTH = 64  # characters of a name, site or address
+MAX_NAME_LENGTH = 64  # maximum characters of a name, site or address
 MAX_FULL_STATE_RECORDS = 4096
 MAX_SILENT_MS = 1 << 40
-FIXED_BYTES = HEADER_BYTES + 93  # the most that a message takes beside its texts, records and reports
+FIXED_BYTES = HEADER_BYTES + 93  # upper bound of an encoded message without its strings, records and reports
 REPORT_OVERHEAD_BYTES = 31
 STATES = tuple(State)
 WireRecord = tuple[str, int, int, int, str, str]  # the fields of Record
@@ -33,29 +33,29 @@
 
     PING = 0
     ACK = 1
-    PING_REQUEST = 2  # ping the target and forward its ack
-    INDIRECT_ACK = 3  # the target answered a requested ping
-    REPORT = 4  # an observer's suspicions, for the other observers of the subjects
-    GOSSIP = 5  # nothing but records
+    PING_REQUEST = 2  # ping the target and relay its ack
+    INDIRECT_ACK = 3  # the target answered a relayed ping
+    REPORT = 4  # an observer's suspicions, sent to the other observers of the subjects
+    GOSSIP = 5  # records only
 
 
 class DropReason(Enum):
-    """The cause for which a datagram was dropped; the values are the keys of the status page."""
+    """The reason for dropping a datagram; the values are keys of the status page."""
 
     CUT = "cut"
-    FOREIGN = "foreign"  # of another fleet, or corrupted
+    FOREIGN = "foreign"  # sent by another fleet, or corrupted
     VERSION = "version"
     UNREADABLE = "unreadable"
     REPLAYED = "replayed"
-    OLD = "old"  # from an earlier process of the sender's name
+    OLD = "old"  # sent by an earlier process with the sender's name
     SELF = "self"  # this router's own datagram
 
 
 class MessageError(ValueError):
-    """A datagram that can't be accepted."""
+    """A datagram that is rejected."""
 
     def __init__(self, reason: DropReason, detail: str = "") -> None:
-        """Name the reason, and the value at fault where there is one."""
+        """Store the reason; `detail` names the invalid value, if any."""
         super().__init__(f"{reason.value}: {detail}" if detail else reason.value)
         self.reason = reason
 
@@ -71,7 +71,7 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """One datagram. It always carries the sender's own record, which the receiver may not know yet."""
+    """One datagram. It always carries the sender's own record, since the receiver may not have it yet."""
 
     kind: int
     sender: str
@@ -87,7 +87,7 @@
     receiver_seen: tuple[int, int, int] = (0, 0, -1)  # the receiver's start, incarnation and state, if known
     records: list[WireRecord] = []
     reports: list[SuspicionReport] = []
-    padding: bytes = b""  # of a ping: space for the gossip in its ack
+    padding: bytes = b""  # of a ping: reserves space for gossip in its ack
 
     def sender_record(self) -> WireRecord:
         """Return the sender's own record."""
@@ -95,7 +95,7 @@
 
 
 class FullState(msgspec.Struct, array_like=True):
-    """One direction of an exchange: a view id, and all records or those that the other side lacks."""
+    """One direction of an exchange: a view id, and either all records or those missing on the other side."""
 
     sender: WireRecord
     view_id: int
@@ -104,12 +104,12 @@
 
 
 def wire_record(record: Record) -> WireRecord:
-    """Return a record as it is encoded."""
+    """Return the encoded form of a record."""
     return (record.name, record.start, record.incarnation, int(record.state), record.site, record.address)
 
 
 def max_message_bytes(message: Message) -> int:
-    """Return an upper bound of a message's bytes without encoding it; its records are not counted."""
+    """Return an upper bound of a message's encoded size, without its records and without encoding it."""
     texts = len(message.sender) + len(message.site) + len(message.address) + len(message.target)
     reports = sum(REPORT_OVERHEAD_BYTES + len(report.subject) for report in message.reports)
     return FIXED_BYTES + texts + len(message.padding) + reports
@@ -131,20 +131,20 @@
         return blake2b(body, digest_size=CODE_BYTES, key=self.key, person=self.person).digest()
 
     def encode(self, message: Message | FullState) -> bytes:
-        """Return the bytes on the wire."""
+        """Return the encoded datagram or frame."""
         body = self.encoder.encode(message)
         return b"%b%c%b%b" % (MAGIC, VERSION, self.authentication_code(body), body)
 
     def encoded_size(self, message: Message) -> int:
-        """Return the number of bytes on the wire."""
+        """Return the encoded size in bytes."""
         return HEADER_BYTES + len(self.encoder.encode(message))
 
     def decode(self, raw: bytes) -> Message:
-        """Return the message of a datagram; MessageError for anything else."""
+        """Return the message of a datagram; raises MessageError for an invalid one."""
         return self.validate(self._decode(raw, self.message_decoder))
 
     def decode_full_state(self, raw: bytes) -> FullState:
-        """Return the message of an exchange; MessageError for anything else."""
+        """Return the message of an exchange; raises MessageError for an invalid one."""
         full_state: FullState = self._decode(raw, self.full_state_decoder)
         if len(full_state.records) > MAX_FULL_STATE_RECORDS:
             raise MessageError(DropReason.UNREADABLE, f"{len(full_state.records)} records")
@@ -167,7 +167,7 @@
 
     @staticmethod
     def validate(message: Message) -> Message:
-        """Return a decoded message whose values are in range; MessageError for any other."""
+        """Return the message; raises MessageError if a value is out of range."""
         parse_record(message.sender_record())
         if message.kind not in MessageKind._value2member_map_:
             raise MessageError(DropReason.UNREADABLE, f"kind {message.kind}")
@@ -183,10 +183,10 @@
 
 
 def parse_record(wire: WireRecord) -> Record:
-    """Return a received record; MessageError for values out of range."""
+    """Return a received record; raises MessageError if a value is out of range."""
     name, start, incarnation, state, site, address = wire
     if not name or max(len(name), len(site), len(address)) > MAX_NAME_LENGTH:
-        raise MessageError(DropReason.UNREADABLE, "a name, site or address of a wrong length")
+        raise MessageError(DropReason.UNREADABLE, "invalid length of a name, site or address")
     if not 0 <= start < START_LIMIT or not 0 <= incarnation < START_LIMIT:
         raise MessageError(DropReason.UNREADABLE, f"start {start}, incarnation {incarnation}")
     if state not in State._value2member_map_:
@@ -195,6 +195,6 @@
 
 
 def trusted_record(wire: WireRecord) -> Record:
-    """Return a record of a message that was validated."""
+    """Return a record of a message that was already validated."""
     name, start, incarnation, state, site, address = wire
     return Record(name, start, incarnation, STATES[state], site, address)
--- a/lupintack/membership/notifier.py
+++ b/lupintack/membership/notifier.py
@@ -1,4 +1,4 @@
-"""Notification of the membership's users: changes are batched until the view is quiet."""
+"""Notification of the membership's users: changes are batched until the view is stable."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class MembersChanged(NamedTuple):
-    """The names that differ from the last notification; a restarted router counts as joined."""
+    """The names that changed since the last notification; a restarted router counts as joined."""
 
     joined: tuple[str, ...]
     removed: tuple[str, ...]
 
 
 class ChangeNotifier:
-    """The members as users were last notified of them, and the changes since."""
+    """The members in the last notification, and whether they have changed since."""
 
     def __init__(self, config: MembershipConfig) -> None:
-        """Begin with no members notified."""
+        """Start with an empty last notification."""
         self.config = config
         self.notified: dict[str, int] = {}  # start by name
-        self.change_pending_us = 0  # when the oldest change that was not notified came; 0 for none
+        self.change_pending_us = 0  # time of the oldest pending change; 0 for none
         self.last_change_us = 0
         self.change_count = 0
 
     def on_merge(self, name: str, start: int, is_counted: bool, now_us: int) -> None:
-        """Register that the record of `name` changed in the view."""
+        """Record that the record of `name` changed in the view."""
         if is_counted != (name in self.notified) or self.notified.get(name) != start:
             self.change_pending_us = self.change_pending_us or now_us
             self.last_change_us = now_us
 
     def take_change(self, view: View, now_us: int) -> MembersChanged | None:
-        """Return the change to notify users of when one is due, else None."""
+        """Return the change to notify users of if a notification is due, else None."""
         if not self.change_pending_us or not self._is_due(view, now_us):
             return None
         members = {name: view.records[name].start for name in view.names}
@@ -55,7 +55,7 @@
         return now_us - self.last_change_us >= self.config.notification_quiet_us
 
     def wake_us(self) -> int:
-        """Return when a notification may be due; 0 with none pending."""
+        """Return when a notification may be due, or 0 if none is pending."""
         if not self.change_pending_us:
             return 0
         return self.last_change_us + self.config.notification_quiet_us
--- a/lupintack/membership/observers.py
+++ b/lupintack/membership/observers.py
@@ -1,7 +1,7 @@
-"""Assignment of observers: rings from one hash, on each of which a member is observed by its predecessor.
+"""Assignment of observers: hash rings, on each of which a member is observed by its predecessor.
 
-A change moves one neighbour on each ring. Together the rings form an expander graph: gossip that only follows
-them reaches every router in a few steps, and a few losses can't take all observers of a member.
+A change affects one neighbour on each ring. Together the rings form an expander graph: gossip along its edges
+reaches every router in a few steps, and the loss of a few routers can't remove all observers of a member.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 MAX_RINGS = 8
-MAX_RING_STEPS = 64  # positions that are skipped on one ring before the search ends
+MAX_RING_STEPS = 64  # maximum positions searched on one ring
 POSITION_BYTES = 8
 POSITION_CACHE_ENTRIES = 65_536
 
@@ -21,8 +21,8 @@
     """A number of rings that is not supported."""
 
     def __init__(self, count: int) -> None:
-        """Name the number."""
-        super().__init__(f"{count} rings: not between 1 and {MAX_RINGS}")
+        """Store the unsupported number."""
+        super().__init__(f"unsupported number of rings: {count} (1 to {MAX_RINGS})")
         self.count = count
 
 
@@ -35,10 +35,10 @@
 
 
 class ObserverRings:
-    """The members on their rings."""
+    """The members, sorted by position on each ring."""
 
     def __init__(self, count: int) -> None:
-        """Begin with empty rings; RingCountError for a count that is not supported."""
+        """Start with empty rings; raises RingCountError for an unsupported count."""
         if not 0 < count <= MAX_RINGS:
             raise RingCountError(count)
         self.rings: list[list[tuple[int, str]]] = [[] for _ in range(count)]
@@ -59,13 +59,13 @@
                 del ring[bisect_left(ring, (position, name))]
 
     def observed_by(self, name: str, skipped: Collection[str] = ()) -> list[str]:
-        """Return whom a member observes: on each ring its successor, and the next one if that is skipped."""
+        """Return the members that `name` observes: on each ring, all up to the first that is not skipped."""
         return self._neighbours(name, skipped, step=1, include_skipped=True)
 
     def observers_of(self, name: str, skipped: Collection[str] = ()) -> list[str]:
-        """Return who observes a member: on each ring the nearest predecessor that is not skipped.
+        """Return the observers of a member: on each ring the nearest predecessor that is not skipped.
 
-        Suspects are skipped: when observers fail together with their subject, others must take over.
+        Callers skip suspects: when observers fail together with their subject, others must replace them.
         """
         return self._neighbours(name, skipped, step=-1, include_skipped=False)
 
--- a/lupintack/membership/outbox.py
+++ b/lupintack/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Outgoing messages: piggybacked gossip, gossip pushed at once, full states."""
+"""Outgoing messages: piggybacked gossip, gossip pushed without delay, full states."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 if TYPE_CHECKING:
     from random import Random
 
-PING_PADDING = bytes(48)  # room for gossip in the ack, which is never longer than its ping
+PING_PADDING = bytes(48)  # space for gossip in the ack, which is never longer than its ping
 UNKNOWN_RECEIVER = (0, 0, -1)
 
 
 class Outbox:
-    """The actions that are collected during one call, and the bounds of what is sent."""
+    """The actions collected during one call, and the size and rate limits of messages."""
 
     def __init__(self, state: LocalState, random: Random, encoded_size: Callable[[Message], int]) -> None:
-        """Begin empty; `encoded_size` returns a message's bytes, or an upper bound of them."""
+        """Start empty; `encoded_size` returns the encoded size of a message, or an upper bound of it."""
         self.state = state
         self.config = state.config
         self.random = random
@@ -33,24 +33,24 @@
         self.push_refilled_us = 0
 
     def take_actions(self) -> Actions:
-        """Return the collected actions and begin anew."""
+        """Return the collected actions and reset the collection."""
         actions, self.actions = self.actions, Actions()
         return actions
 
     def add_connection_probe(self, name: str, start: int, address: str) -> None:
-        """Ask the caller to connect to a router's process."""
+        """Add a connection probe of a router's process."""
         self.actions.connection_probes.append(ConnectionProbe(name, start, address))
 
     def add_exchange(self, name: str, address: str, full_state: FullState) -> None:
-        """Ask the caller to begin a full-state exchange."""
+        """Add a full-state exchange to start."""
         self.actions.exchanges.append(Exchange(name, address, full_state))
 
     def reset_push_allowance(self) -> None:
-        """Allow a whole burst of pushed gossip."""
+        """Allow a full burst of pushed gossip."""
         self.push_allowance_bytes = self.config.push_burst_bytes
 
     def push_gossip(self, now_us: int, fanout: int) -> None:
-        """Send gossip to some routers without waiting for the next probes, bounded in bytes per second."""
+        """Send gossip to random routers without waiting for the next probes, limited in bytes per second."""
         refill = (now_us - self.push_refilled_us) * self.config.push_bytes_per_s / 1e6
         self.push_allowance_bytes = min(self.config.push_burst_bytes, self.push_allowance_bytes + refill)
         self.push_refilled_us = now_us
@@ -71,10 +71,10 @@
         reports: Sequence[SuspicionReport] = (),
         max_bytes: int = 0,
     ) -> int:
-        """Queue one datagram with the gossip that fits; return its length in bytes, 0 for none sent.
+        """Add one datagram with the gossip that fits; return its size in bytes, or 0 if none is sent.
 
-        A positive `max_bytes` is the length of the request that is answered: a forged sender address must not
-        make this router send more than it received.
+        A positive `max_bytes` is the length of the request being answered: a forged sender address must not
+        make this router send more bytes than it received (amplification).
         """
         if not address:
             return 0
@@ -113,7 +113,7 @@
         )
 
     def _add_gossip(self, message: Message, name: str, free_bytes: int) -> int:
-        # A datagram to a router that is not reached is likely lost, and would use up the retransmissions.
+        # A datagram to an unreachable router is probably lost, and would use up retransmissions.
         record = self.state.view.records.get(name)
         is_unreached = record is not None and record.state in (State.SUSPECT, *TERMINAL_STATES)
         if is_unreached and message.kind is not MessageKind.ACK:
@@ -124,6 +124,6 @@
         return sum(map(max_record_bytes, records))
 
     def full_state(self, records: Sequence[Record], is_answer: bool = False) -> FullState:
-        """Return an exchange's message with these records."""
+        """Return the message of an exchange with these records."""
         me = wire_record(self.state.me)
         return FullState(me, self.state.view.id, [wire_record(record) for record in records], is_answer)
--- a/lupintack/membership/probing.py
+++ b/lupintack/membership/probing.py
@@ -1,4 +1,4 @@
-"""Health checks of the observed routers: pings, indirect probes, and relays for other observers."""
+"""Health checks of the observed routers: pings, indirect probes, and pings relayed for other observers."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class Prober:
-    """The probes of one router, and those that it relays."""
+    """The probes of one router, and the pings that it relays for others."""
 
     def __init__(self, state: LocalState, detector: FailureDetector, outbox: Outbox, random: Random) -> None:
-        """Begin without any relay."""
+        """Start without relayed pings."""
         self.state = state
         self.config = state.config
         self.detector = detector
@@ -39,7 +39,7 @@
         self.relays: dict[int, Relay] = {}  # by the nonce of the relayed ping
 
     def update_observed(self, now_us: int) -> None:
-        """Observe the routers that the rings assign to this one."""
+        """Update the observed routers from the observer rings."""
         state = self.state
         state.observers_changed = False
         self.detector.suspects = frozenset(state.view.suspects - {state.name})
@@ -47,7 +47,7 @@
         self.detector.observe((name for name in names if name != state.name), now_us)
 
     def send(self, probe: Probe) -> None:
-        """Send a ping, or after a missed ack a connection probe and requests for indirect pings."""
+        """Send a ping or, after a missed ack, a connection probe and requests for indirect pings."""
         view = self.state.view
         record = view.records[probe.name]
         if probe.action is ProbeAction.PING:
@@ -60,7 +60,7 @@
             self.outbox.send(helper, address, MessageKind.PING_REQUEST, probe.nonce, probe.name)
 
     def relay_ping(self, request: Message, now_us: int) -> None:
-        """Ping the target of another router's request."""
+        """Ping the target of another router's request, if it is known and a relay is free."""
         target = self.state.view.records.get(request.target)
         if target is None or target.name == self.state.name:
             return
@@ -74,7 +74,7 @@
         self.outbox.send(target.name, target.address, MessageKind.PING, nonce)
 
     def on_relayed_ack(self, ack: Message) -> bool:
-        """Forward an ack to the router that asked for the ping; return whether it answers a relayed one."""
+        """Forward the ack of a relayed ping to its requester; return whether it was one."""
         relay = self.relays.pop(ack.nonce, None)
         if relay is None:
             return False
--- a/lupintack/membership/reachability.py
+++ b/lupintack/membership/reachability.py
@@ -1,4 +1,4 @@
-"""Detection of a one-way cut: this router receives messages, and none of its own are answered."""
+"""Detection of a one-way partition: this router receives messages, but none of its own are answered."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class OutboundReachability:
-    """The times of the last ack and of the last message received."""
+    """The times of the last ack and of the last received message."""
 
     def __init__(self, config: MembershipConfig) -> None:
-        """Begin at time 0; `start` sets the real one."""
+        """Start at time 0; `start` sets the current time."""
         self.config = config
         self.last_ack_us = 0
         self.last_received_us = 0
 
     def start(self, now_us: int) -> None:
-        """Take the present as the time of both."""
+        """Set both times to `now_us`."""
         self.last_ack_us = self.last_received_us = now_us
 
     def on_local_pause(self, gap_us: int) -> None:
-        """Don't count a pause of this process as time without acks."""
+        """Exclude a pause of this process from the time without acks."""
         self.last_ack_us += gap_us
 
     def is_unacknowledged(self, observed_count: int, now_us: int) -> bool:
-        """Return whether messages come in while all probes stay unanswered."""
+        """Return whether messages are received while all probes are unanswered."""
         return (
             now_us - self.last_ack_us > 2 * self.config.suspicion_timeout_us
             and now_us - self.last_received_us < self.config.probe_interval_us * 2
--- a/lupintack/membership/replay_filter.py
+++ b/lupintack/membership/replay_filter.py
@@ -1,4 +1,4 @@
-"""Replay protection: a window of sequence numbers for each sending process."""
+"""Replay protection: a sliding window of sequence numbers for each sending process."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 from lupintack.membership.messages import DropReason, Message
 
-REPLAY_WINDOW = 64  # sequence numbers below the highest that are still accepted once, in any order
+REPLAY_WINDOW = 64  # sequence numbers up to the highest that are accepted once, in any order
 MAX_SENDERS = 8192
 
 
 class Arrival(Enum):
-    """The order in which an accepted message came."""
+    """The order in which an accepted message arrived."""
 
-    NEWEST = auto()  # later than all that came from its sender
+    NEWEST = auto()  # the highest sequence number of its sender so far
     OUT_OF_ORDER = auto()
 
 
 @dataclass(slots=True)
 class SenderWindow:
-    """The sequence numbers that came from one process."""
+    """The sequence numbers received from one process."""
 
     start: int
     highest: int
-    received_mask: int = 1  # bit n: `highest` - n has come
+    received_mask: int = 1  # bit n: `highest` - n was received
 
 
 class ReplayFilter:
-    """The windows of all senders; the one added first is evicted when there are too many."""
+    """The windows of all senders; the first one added is evicted when there are MAX_SENDERS."""
 
     def __init__(self) -> None:
-        """Begin without any sender."""
+        """Start without senders."""
         self.senders: dict[str, SenderWindow] = {}
 
     def accept(self, message: Message, known_start: int) -> Arrival | DropReason:
-        """Register a message and return its order, or the reason to drop it.
+        """Record a message and return its order, or the reason to drop it.
 
-        `known_start` is the start of the sender's process in the view, 0 for none.
+        `known_start` is the start of the sender's process in the view, 0 if unknown.
         """
         window = self.senders.get(message.sender)
         if message.start < max(known_start, window.start if window else 0):
--- a/lupintack/membership/state_machine.py
+++ b/lupintack/membership/state_machine.py
@@ -1,7 +1,7 @@
-"""The membership of one router as a state machine: calls with the time in, actions out, no I/O.
+"""The membership of one router as a state machine without I/O: calls take the time and return actions.
 
-It runs the same on sockets, on the lab's virtual clock and in tests. `tick` is due at `wake_us`; a late call
-is detected as a pause of this process. No safety property of other modules relies on the membership.
+The same code runs on sockets, on the lab's virtual clock and in tests. `tick` is due at `wake_us`; a late
+call is treated as a pause of this process. No safety property of other modules depends on the membership.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 if TYPE_CHECKING:
     from random import Random
 
-REMOVAL_FANOUT = 2  # routers to which a removal is forwarded at once
+REMOVAL_FANOUT = 2  # routers to which a removal is forwarded immediately
 
 
 class Membership:
-    """Composes the parts of one router's membership and dispatches each call to them."""
+    """Composes the components of one router's membership and dispatches calls to them."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         seeds: Sequence[str],
         encoded_size: Callable[[Message], int],
     ) -> None:
-        """Begin as `me`, unstarted; `encoded_size` returns a message's bytes, or an upper bound of them."""
+        """Create the unstarted router `me`; `encoded_size` returns a message's size or an upper bound."""
         self.config = config
         self.state = LocalState(me, config)
         self.detector = FailureDetector(config, random)
@@ -70,7 +70,7 @@
 
     @property
     def is_minority(self) -> bool:
-        """Whether this router may be on the smaller side of a cut."""
+        """Whether this router may be on the smaller side of a network partition."""
         return self.suspicions.is_minority
 
     @property
@@ -81,7 +81,7 @@
     # Calls from outside
 
     def start(self, now_us: int) -> Actions:
-        """Begin alone; the first exchange brings the other routers."""
+        """Start with only this router in the view; the first exchange adds the others."""
         self.wake_us = self.outbox.push_refilled_us = now_us
         self.reachability.start(now_us)
         self.anti_entropy.start(now_us)
@@ -91,7 +91,7 @@
         return self.tick(now_us)
 
     def tick(self, now_us: int) -> Actions:
-        """Do what is due."""
+        """Run the steps that are due."""
         self._detect_local_pause(now_us)
         if not self.state.is_silent:
             self.anti_entropy.join(now_us)
@@ -109,7 +109,7 @@
         return self.outbox.take_actions()
 
     def receive(self, raw_length: int, message: Message, now_us: int) -> Actions:
-        """Handle a message that came in a datagram of `raw_length` bytes."""
+        """Handle a message received in a datagram of `raw_length` bytes."""
         if self._detect_local_pause(now_us):
             self.wake_us = now_us
         arrival = self._classify(message)
@@ -120,7 +120,7 @@
         return self.outbox.take_actions()
 
     def on_probe_result(self, name: str, start: int, refused: bool, now_us: int) -> Actions:
-        """Handle the result of a connection probe; only a refusal says anything."""
+        """Handle the result of a connection probe; any result but a refusal is ignored."""
         record = self.view.records.get(name)
         is_current = record is not None and record.start == start
         if refused and is_current and now_us >= self.state.listen_until_us:
@@ -131,7 +131,7 @@
         return self.outbox.take_actions()
 
     def on_full_state(self, received: FullState, now_us: int) -> tuple[FullState, Actions]:
-        """Merge the full state of a router that began an exchange; return the answer and the actions."""
+        """Merge the full state of a router that started an exchange; return the answer and the actions."""
         records = [trusted_record(record) for record in (*received.records, received.sender)]
         self._apply(records, now_us)
         missing = self.view.newer_than(records)[: self.config.exchange_batch]
@@ -139,7 +139,7 @@
         return self.outbox.full_state(missing, is_answer=True), self.outbox.take_actions()
 
     def on_full_state_answer(self, received: FullState, now_us: int) -> Actions:
-        """Merge the answer to an exchange that this router began; the first one completes a join."""
+        """Merge the answer to an exchange that this router started; the first one completes a join."""
         self._apply([trusted_record(record) for record in (*received.records, received.sender)], now_us)
         if self.me.state is State.JOINING:
             self.state.set_own_state(State.ALIVE, now_us)
@@ -149,7 +149,7 @@
         return self.outbox.take_actions()
 
     def leave(self, now_us: int) -> Actions:
-        """Leave on purpose, so that the others don't treat it as a failure."""
+        """Announce that this router leaves, so that the others don't treat it as failed."""
         if not self.state.is_silent:
             self.state.set_own_state(State.LEFT, now_us)
             self.outbox.reset_push_allowance()
@@ -158,7 +158,7 @@
         return self.outbox.take_actions()
 
     def rejoin(self, now_us: int) -> Actions:
-        """Return after a leave of this same process."""
+        """Rejoin after this process has left."""
         if self.me.state is State.LEFT and not self.is_superseded:
             self.state.is_silent = False
             self.state.set_own_state(State.ALIVE, now_us)
@@ -167,11 +167,11 @@
         return self.outbox.take_actions()
 
     def count_drop(self, reason: DropReason) -> None:
-        """Count a datagram that was dropped."""
+        """Count a dropped datagram."""
         self.drops[reason] += 1
 
     def current_change(self, joined: tuple[str, ...] = (), removed: tuple[str, ...] = ()) -> MembershipChange:
-        """Return the members as last notified, with how certain the view is now."""
+        """Return the members in the last notification, with the present certainty of the view."""
         state = self.state
         names = sorted(state.notifier.notified)
         return MembershipChange(
@@ -185,7 +185,7 @@
             number=state.notifier.change_count,
         )
 
-    # Messages and records that were received
+    # Received messages and records
 
     def _classify(self, message: Message) -> Arrival | DropReason:
         if message.sender != self.name:
@@ -199,7 +199,7 @@
         sender = trusted_record(message.sender_record())
         self._apply([sender, *map(trusted_record, message.records)], now_us)
         if self.state.is_silent:
-            return  # the message showed that another process has taken this router's name
+            return  # superseded: a later process has this router's name
         if arrival is Arrival.NEWEST:
             self.reachability.last_received_us = now_us
             self.detector.mark_alive(message.sender, now_us)
@@ -235,7 +235,7 @@
                 self._decide_failures(now_us)
 
     def _apply(self, records: Sequence[Record], now_us: int) -> None:
-        """Merge received records, and forward what is new: removals at once, to a few routers."""
+        """Merge received records and queue new ones for gossip; push removals to some routers immediately."""
         has_removal = False
         for record in records:
             if record.name == self.name:
@@ -251,7 +251,7 @@
         is_other_process = record.start == me.start and record.address != me.address
         if record.start > me.start or is_other_process:
             if me.state is State.JOINING:
-                # The record is of an earlier process whose clock was ahead.
+                # The record belongs to an earlier process whose clock was ahead.
                 state.me = me._replace(start=max(record.start, me.start) + 1)
                 state.merge(state.me, now_us)
             elif record.start > me.start:
@@ -261,7 +261,7 @@
             self._refute(record.incarnation, now_us)
 
     def _refute(self, incarnation: int, now_us: int) -> None:
-        """Answer a suspicion or removal of this router with a higher incarnation."""
+        """Refute a suspicion or removal of this router with a higher incarnation."""
         if self.me.state is State.LEFT or incarnation < self.me.incarnation or self.state.is_silent:
             return
         self.detector.health.degrade()
@@ -269,7 +269,7 @@
         self.state.set_own_state(self.me.state, now_us)
         self.outbox.push_gossip(now_us, self.config.push_fanout)
 
-    # Steps of a tick; the lab's baselines replace some of them
+    # Steps of a tick; the lab's baselines override some of them
 
     def _detect_local_pause(self, now_us: int) -> bool:
         gap_us = now_us - self.wake_us
--- a/lupintack/membership/suspicions.py
+++ b/lupintack/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicion of silent routers: reports between observers, and the decision that a subject has failed."""
+"""Suspicion of silent routers: reports between observers, and the removal of subjects that have failed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The suspicions in which one router takes part as an observer."""
 
     def __init__(self, state: LocalState, detector: FailureDetector, outbox: Outbox) -> None:
-        """Begin without any suspicion."""
+        """Start without suspicions."""
         self.state = state
         self.config = state.config
         self.detector = detector
@@ -25,11 +25,12 @@
 
     @property
     def is_minority(self) -> bool:
-        """Whether fewer than three in five members are free of suspicion: this side may be the one cut off.
+        """Whether fewer than 60 percent of the members are unsuspected: this side may be the smaller one.
 
-        A simple majority would do if all suspicions arose at once; in a part of just under half, some of the
-        others are not suspected yet when the first could be removed. Members that were silent until their
-        removal still count, or a small part could remove a few and become the larger part of what is left.
+        A simple majority would suffice if all suspicions arose at the same time. In a partition of just under
+        half of the fleet, some of the others are not yet suspected when the first could be removed. Members
+        that were removed as silent still count; otherwise a small partition could remove a few members and
+        become the majority of the remaining ones.
         """
         view = self.state.view
         total = len(view.names) + len(view.failed)
@@ -58,7 +59,7 @@
         return self.state.rings.observers_of(name, self.detector.suspects - {name})
 
     def _suspect(self, subject: ObservedRouter, record: Record, now_us: int) -> SuspicionReport | None:
-        """Register the own report; return what is sent to other observers, None within the interval."""
+        """Register this router's report; return the one to send, or None within the report interval."""
         state = self.state
         if record.state is not State.SUSPECT:
             record = state.mark(record, State.SUSPECT, now_us)
@@ -86,7 +87,7 @@
     def on_reports(self, message: Message, now_us: int) -> None:
         """Register another observer's reports, except while this process listens after a local pause.
 
-        What was queued during the pause may be long out of date.
+        Messages queued during the pause may be out of date.
         """
         state = self.state
         if now_us < state.listen_until_us:
@@ -105,7 +106,7 @@
             state.reasons[report.subject] = _reason(message.sender, report.is_unreachable)
 
     def decide_failures(self, now_us: int) -> None:
-        """Remove the suspects that enough of their observers report, this router among them."""
+        """Remove the suspects that this router observes and that enough of their observers report."""
         state = self.state
         if now_us < state.listen_until_us or state.is_silent or state.me.state is State.JOINING:
             return
@@ -135,7 +136,7 @@
         return suspicions
 
     def _is_unsettled(self, now_us: int) -> bool:
-        """Whether suspicions still arise, so that the extent of a cut is not known yet."""
+        """Whether suspicions are still arising, so that the extent of a partition is not yet known."""
         view, config = self.state.view, self.config
         ages_us = [now_us - view.since_us[name] for name in view.suspects]
         settled_us = config.failure_timeout_us - config.suspicion_timeout_us + config.max_suspicion_settle_us
--- a/lupintack/membership/view.py
+++ b/lupintack/membership/view.py
@@ -1,8 +1,8 @@
-"""Records of all routers, merged as a join: in any order and any number of times with one result.
+"""Records of all routers, merged by a join: the result depends neither on their order nor on duplicates.
 
-A record is the last known state of a process, which its name and start identify. Only the process itself
-raises its incarnation; others may add `suspect`, `failed` or `ended` to the incarnation that they know. The
-greatest of (start, incarnation, state, ...) wins, so the result does not depend on the order of arrival.
+A record is the last known state of a process, identified by its name and start. Only the process itself
+increments its incarnation; others may set `suspect`, `failed` or `ended` for the incarnation in their view.
+The greatest of (start, incarnation, state, ...) wins.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class State(IntEnum):
-    """A router's state; within an incarnation the greater one wins, so `left` is never taken for failed."""
+    """A router's state; within an incarnation the greater one wins, so `LEFT` overrides `FAILED`."""
 
     JOINING = 0
     ALIVE = 1
-    UNACKNOWLEDGED = 2  # set by the router itself: it receives messages, and none of its own are answered
+    UNACKNOWLEDGED = 2  # set by the router itself: it receives messages, but none of its own are answered
     SUSPECT = 3
-    FAILED = 4  # silent towards its observers for long
-    ENDED = 5  # connections of its observers were refused: the process is gone
+    FAILED = 4  # silent for longer than the failure timeout, reported by a quorum
+    ENDED = 5  # connections of its observers were refused: the process no longer exists
     LEFT = 6
 
 
@@ -38,19 +38,19 @@
     """The state of one process."""
 
     name: str
-    start: int  # greater with each process of the name
+    start: int  # increases with each process of the name
     incarnation: int
     state: State
     site: str
-    address: str  # host:port of its datagrams and exchanges
+    address: str  # host:port for its datagrams and exchanges
 
     def rank(self) -> tuple[int, int, int, str, str]:
-        """Return the key of the total order that decides between two records of one name."""
+        """Return the sort key of the total order that decides between two records of one name."""
         return (self.start, self.incarnation, self.state, self.site, self.address)
 
 
 def join(current: Record | None, other: Record) -> Record:
-    """Return the record that wins; commutative, associative and idempotent."""
+    """Return the record with the higher rank; commutative, associative and idempotent."""
     return other if current is None or other.rank() > current.rank() else current
 
 
@@ -63,22 +63,22 @@
 class View:
     """All records of one router, bounded in number.
 
-    Routers that left or failed are forgotten after a while, and the oldest of them earlier when the table is
-    full. A new name is refused when there is none to forget.
+    Records of routers that left or failed expire after the tombstone TTL; when the table is full, the oldest
+    of them is evicted earlier. A new name is refused when there is none to evict.
     """
 
     def __init__(self, max_records: int, tombstone_ttl_us: int) -> None:
-        """Begin empty."""
+        """Start empty."""
         self.max_records = max_records
         self.tombstone_ttl_us = tombstone_ttl_us
         self.records: dict[str, Record] = {}
-        self.since_us: dict[str, int] = {}  # when each record was merged here
-        self.terminal_since_us: dict[str, int] = {}  # routers that left or failed, the oldest first
+        self.since_us: dict[str, int] = {}  # when each record was merged into this view
+        self.terminal_since_us: dict[str, int] = {}  # routers that left or failed, oldest first
         self.suspects: set[str] = set()
-        self.failed: set[str] = set()  # not proved to have ended: they may be beyond a cut
+        self.failed: set[str] = set()  # not proved to have ended: a partition may separate them
         self.names: set[str] = set()  # the members
-        self.id = 0  # equal at two routers that count the same processes
-        self.refused = 0  # names for which the table had no space
+        self.id = 0  # equal on two routers that count the same processes
+        self.refused = 0  # number of new names refused because the table was full
 
     def merge(self, record: Record, now_us: int) -> bool:
         """Merge a record; return whether anything changed."""
@@ -127,7 +127,7 @@
         self.since_us.pop(name, None)
 
     def expire(self, now_us: int) -> list[str]:
-        """Forget routers that left or failed long ago; return their names."""
+        """Remove the expired records of routers that left or failed; return their names."""
         expired = []
         for name, since_us in self.terminal_since_us.items():
             if now_us - since_us < self.tombstone_ttl_us:
@@ -138,11 +138,11 @@
         return expired
 
     def is_counted(self, name: str) -> bool:
-        """Return whether a name is a member's."""
+        """Return whether a name belongs to a member."""
         return name in self.names
 
     def newer_than(self, other_records: Iterable[Record]) -> list[Record]:
-        """Return the records that win over theirs, or that they lack."""
+        """Return the records that override one of `other_records`, or that are missing there."""
         known = {record.name: record for record in other_records}
         return [
             record
