--- a/lupintack/fleet/__init__.py
+++ b/lupintack/fleet/__init__.py
@@ -1,3 +1,1 @@
-"""The threads and sockets between routers: datagrams and exchanges. They carry out what the pure parts
-return.
-"""
+"""Threads and sockets between routers. They execute the actions that the modules without I/O return."""
--- a/lupintack/fleet/budget_leases.py
+++ b/lupintack/fleet/budget_leases.py
@@ -1,8 +1,8 @@
-"""Mapping of the fleet's budgets, by their names in the operator file, to the limits of the core. No I/O.
+"""Mapping of the fleet's budgets, by their names in the operator file, to limits of the core, without I/O.
 
-`store-fills` are concurrent fills at the origin. `cold-parents` and `cold-caches.SITE` are slots: a router
-with one of N has an N-th of the budget of each parent, or of each cache of that site, that warms up. Budgets
-of other names are allocated and reported, and nothing here spends them.
+`store-fills` limits concurrent fills at the origin. `cold-parents` and `cold-caches.SITE` consist of slots: a
+router with one of N slots may use one N-th of the budget of each warming parent, or of each warming cache of
+that site. Budgets with other names are allocated and reported, but not spent here.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 ORIGIN_FILLS_BUDGET = "store-fills"
 WARMING_PARENTS_BUDGET = "cold-parents"
 WARMING_CACHES_PREFIX = "cold-caches."
-DEMAND_HEADROOM = 1.25  # a share without headroom would reject at the first rise
+DEMAND_HEADROOM = 1.25  # without headroom the first increase of the load would be rejected
 UNLIMITED = -1
 
 
 def core_leases(budgets: Sequence[Budget], amounts: Sequence[int], until_us: int, site: str) -> Leases:
-    """Return the core's limits for the amounts of reservations and leases together."""
+    """Return the core's limits for the sums of reservations and leases."""
     units = {budget.name: amount for budget, amount in zip(budgets, amounts, strict=True)}
     totals = {budget.name: budget.total_units for budget in budgets}
 
@@ -39,9 +39,9 @@
 def demand(
     budgets: Sequence[Budget], measured: MeasuredDemand, previous: Sequence[int], site: str
 ) -> tuple[int, ...]:
-    """Return the demand of each budget: what was measured and some headroom; none of other sites.
+    """Return the demand of each budget: the measured use plus headroom, 0 for warming caches of other sites.
 
-    It rises at once and falls step by step.
+    It rises immediately and falls gradually.
     """
     shares = {
         WARMING_CACHES_PREFIX + site: measured.warming_cache_share,
@@ -60,7 +60,7 @@
 
 
 def in_use(budgets: Sequence[Budget], measured: MeasuredDemand) -> tuple[int, ...]:
-    """Return the units in use of concurrent budgets, also past the end of a lease."""
+    """Return the units in use of concurrent budgets, including those in use after a lease has ended."""
     return tuple(
         measured.origin_fills_in_flight if budget.name == ORIGIN_FILLS_BUDGET else 0 for budget in budgets
     )
--- a/lupintack/fleet/budget_levels.py
+++ b/lupintack/fleet/budget_levels.py
@@ -1,6 +1,6 @@
-"""A router's budgets at one level or at two, as `BudgetService` drives them: node, wire and status by level.
+"""A router's budgets at one level or at two, with one interface for `BudgetService`.
 
-Both have the same methods: the service knows neither the version of the wire nor how many voters a name is.
+The service depends neither on the version of the encoding nor on the levels at which a name votes.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from lupintack.budgets.voter import Promise
 from lupintack.membership.messages import MessageCodec
 
-PromiseReader = Callable[[Level], Promise | None]  # what the process before promised at a level
+PromiseReader = Callable[[Level], Promise | None]  # returns a level's stored promise, if valid
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDatagram:
-    """A decoded datagram: its sender, the address for answers, and the call on the node."""
+    """A decoded datagram: its sender, the address for replies, and the call that applies it to the node."""
 
     sender: str
     address: str
@@ -38,39 +38,39 @@
 
     name: str
     start: int
-    voters: tuple[str, ...]  # of the fleet's level
+    voters: tuple[str, ...]  # voters at the fleet level
     terms: Terms
 
 
 class Levels(Protocol):
-    """The interface of either kind to the service."""
+    """The interface of `OneLevel` and `TwoLevels` to the service."""
 
     budgets: tuple[Budget, ...]
     reservations: tuple[int, ...]  # of each budget, for this name
 
     @property
     def node(self) -> BudgetNode | TwoLevelNode:
-        """The node that is ticked."""
+        """The node to tick."""
 
     @property
     def holder_node(self) -> BudgetNode:
-        """The level at which this process holds leases to spend."""
+        """The node of the level at which this process holds leases to spend."""
 
     def become_voter(self, read_promise: PromiseReader, now: int) -> None:
-        """Vote for this process's name from now on, at each level where the name is a voter."""
+        """Start to vote under this process's name, at each level where the name is a voter."""
 
     def decode(self, raw: bytes) -> ReceivedDatagram:
-        """Decode a datagram; raises Bad for one that can't be read."""
+        """Decode a datagram; raises MessageError for an invalid one."""
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """Return the datagram for a message."""
 
     def status(self, now: int) -> dict[str, Any]:
-        """Return the fields for operators that differ between the kinds."""
+        """Return the fields of the status page that depend on the number of levels."""
 
 
 class OneLevel:
-    """The fleet's allocator leases to each router."""
+    """One level: the fleet's allocator leases budgets to each router."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         codec: MessageCodec,
         now: int,
     ) -> None:
-        """`names`: those that have reservations."""
+        """`names`: the router names that have reservations."""
         self.budgets = tuple(budgets)
         self.reservations = tuple(
             reservations(b.total_units, b.reserved_per_mille, names).get(router.name, 0) for b in self.budgets
@@ -100,7 +100,7 @@
 
     @property
     def holder_node(self) -> BudgetNode:
-        """The only level."""
+        """The node of the only level."""
         return self.node
 
     def become_voter(self, read_promise: PromiseReader, now: int) -> None:
@@ -122,10 +122,10 @@
 
 
 class TwoLevels:
-    """The region's allocator leases to each router of the region, and holds a lease of the fleet's."""
+    """Two levels: a region's allocator leases to its routers and holds a lease of the fleet's allocator."""
 
     def __init__(self, router: RouterIdentity, plan: RegionPlan, codec: MessageCodec, now: int) -> None:
-        """A router of this plan's region."""
+        """Create the nodes of a router in the region of `plan`."""
         self.budgets, self.plan = plan.budgets, plan
         is_voter = router.name in plan.region.voters
         self.reservations = plan.name_reservations if is_voter else (0,) * len(plan.budgets)
@@ -136,7 +136,7 @@
 
     @property
     def holder_node(self) -> BudgetNode:
-        """The region's level."""
+        """The node of the region's level."""
         return self.node.region
 
     def become_voter(self, read_promise: PromiseReader, now: int) -> None:
@@ -167,7 +167,7 @@
         }
 
     def _parent_lease(self, now: int) -> dict[str, Any] | None:
-        """Return the parent lease that this process has as its region's allocator; None for others."""
+        """Return the parent lease of this process; None if it is not its region's allocator."""
         node = self.node
         if not node.region.is_allocator(now):
             return None
@@ -188,14 +188,14 @@
     plan: RegionPlan | None,
     now: int,
 ) -> Levels:
-    """Return budgets of two levels where there is a plan, else of one."""
+    """Return two levels if there is a plan, else one level."""
     if plan is not None:
         return TwoLevels(router, plan, codec, now)
     return OneLevel(router, budgets, names, codec, now)
 
 
 def allocation_status(node: BudgetNode, now: int) -> dict[str, Any]:
-    """Return who allocates at a level, as far as this process knows, and whom it promised its vote."""
+    """Return a level's allocator as seen by this process, and the epoch that holds its promised vote."""
     is_allocator = node.is_allocator(now)
     return {
         "epoch": list(node.leader) if node.leader is not None else None,
@@ -206,14 +206,14 @@
 
 
 def allocated_units(node: BudgetNode, now: int) -> list[int] | None:
-    """Return the granted units of each budget at a level; None where this process doesn't allocate there."""
+    """Return the granted units of each budget at a level; None if this process is not its allocator."""
     if node.allocator is None or not node.is_allocator(now):
         return None
     return list(node.allocator.allocated())
 
 
 def as_level_actions(node_actions: LevelActions | Actions) -> LevelActions:
-    """Return the actions of one level as those of the fleet's level."""
+    """Return the actions of a one-level node as actions of the fleet level; others unchanged."""
     if isinstance(node_actions, LevelActions):
         return node_actions
     actions = LevelActions()
--- a/lupintack/fleet/budgets.py
+++ b/lupintack/fleet/budgets.py
@@ -1,7 +1,7 @@
-"""A router's budgets as a service: a thread for ticks, and datagrams by the membership's socket.
+"""A router's budgets as a service: a thread for ticks, and datagrams on the membership's socket.
 
-Votes and the name's lock are files in `$TMPDIR`; without it this process neither votes nor has reservations.
-Each change of the leased amounts is passed to `on_lease_change`.
+Votes and the lock of the router name are files in `$TMPDIR`; without it this process neither votes nor has
+reservations. Each change of the leased amounts is passed to `on_lease_change`.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from lupintack.settings.budget_plan import budget as budget
 
 LOG = logging.getLogger("budgets")
-MAX_LOGGED_LEASES = 64  # that the staff can look back on
+MAX_LOGGED_LEASES = 64  # recent leases on the status page
 MAX_WAIT_S = 0.25
 MAX_ADDRESSES = 4096
-MAX_DEMAND_INTERVAL_US = 500_000  # between two questions of what was wanted, and what is out
+MAX_DEMAND_INTERVAL_US = 500_000  # between two calls of `request_demand`
 
 
 class BudgetService:
-    """The budgets' part of a router."""
+    """The budgets of a router: its node, stored votes, name lock and spending limits."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         request_demand: Callable[[], None] = lambda: None,
         plan: RegionPlan | None = None,
     ) -> None:
-        """`names`: those that have reservations; `send`: takes a name, its last known address, and bytes;
-        `on_lease_change`: takes the amounts and until when they last (0: for good); `request_demand`: called
-        now and then, to be answered by `set_demand`. Neither of the two may block. `plan`: with it budgets
-        have two levels, and `budgets` and `names` are the plan's.
+        """`names`: the router names that have reservations. `send` takes a name, its last known address and
+        bytes. `on_lease_change` takes the usable amounts and the time until which they last (0: no end).
+        `request_demand` is called periodically and leads to a call of `set_demand`. Neither of these two may
+        block. With a `plan`, budgets have two levels, and `budgets` and `names` are those of the plan.
         """
         self.on_lease_change, self.request_demand = on_lease_change, request_demand
         self.last_notified: tuple[tuple[int, ...], int] = ((), 0)
-        # At least twice between two lease requests.
+        # Demand is requested at least twice between two lease requests.
         self.demand_interval_us = min(MAX_DEMAND_INTERVAL_US, terms.request_interval_us // 3)
         self.demand: tuple[int, ...] = ()
         self.in_use: tuple[int, ...] = ()
@@ -83,42 +83,42 @@
         self.wake = threading.Event()
         self.stopped = threading.Event()
         self.addresses: dict[str, str] = {}
-        # When each lease was granted, when it ends, and its amounts.
+        # The time of each grant, the end of the lease, and its amounts.
         self.leases: deque[tuple[int, int, tuple[int, ...]]] = deque(maxlen=MAX_LOGGED_LEASES)
         self.counts: Counter[str] = Counter()
         self.node.set_demand([b.total_units for b in self.budgets])
 
     def reservation(self, now: int) -> tuple[int, ...]:
-        """Return the name's reservations, for the one of its processes that has the name's lock."""
+        """Return the name's reservations if this process holds the name's lock, else zeros."""
         return self.name_reservations if self.holds_name_lock(now) else self.node.holder.zero
 
     def holds_name_lock(self, now: int) -> bool:
-        """Return whether this process has the name's lock, and begin to vote when it acquires it."""
+        """Return whether this process holds the name's lock; try to acquire it, and vote from then on."""
         if self.name_lock.try_acquire(now):
             self.levels.become_voter(lambda level: self.vote_files.read(level, now), now)
         return self.name_lock.is_held
 
-    # What drives it
+    # Ticks and datagrams
 
     def run(self) -> None:
-        """Run ticks until the service is closed."""
+        """Run steps until the service is closed."""
         while not self.stopped.is_set():
             wait_us = self.step() - now_us()
             if self.wake.wait(min(MAX_WAIT_S, max(0.0005, wait_us / 1e6))):
                 self.wake.clear()
 
     def step(self) -> int:
-        """Do what is due; return when the next step is due, unless a datagram comes before."""
+        """Run what is due; return when the next step is due if no datagram arrives earlier."""
         now = now_us()
         try:
             if now >= self.node.wake_us:
                 self.call(self.node.tick)
             elif 0 < self.last_notified[1] <= now:
-                self.call(lambda now: Actions())  # the lease has expired, which is a change
+                self.call(lambda now: Actions())  # the lease has expired: notify
             if now >= self.demand_requested_us + self.demand_interval_us:
                 self.demand_requested_us = now
                 self.request_demand()
-        except Exception:  # one tick's fault must not end the others
+        except Exception:  # an exception in one step must not end the thread
             self.counts["faults"] += 1
             LOG.exception("budgets")
         return self.next_step_us
@@ -137,20 +137,20 @@
             self.counts[f"dropped.{error.reason.value}"] += 1
             return
         self.addresses.pop(datagram.sender, None)
-        if len(self.addresses) >= MAX_ADDRESSES:  # forget the sender that was silent for longest
+        if len(self.addresses) >= MAX_ADDRESSES:  # evict the sender with the oldest datagram
             del self.addresses[next(iter(self.addresses))]
         self.addresses[datagram.sender] = datagram.address
         self.call(datagram.call)
         self.wake.set()
 
     def call(self, method: Callable[[int], LevelActions | Actions]) -> None:
-        """Call the node, and perform its actions in their order; promises are stored under the lock."""
+        """Call the node and execute its actions in order; promises are stored under the lock."""
         with self.lock:
             now = now_us()
             floor = self.reservation(now)
             if self.demand:
-                # Units in use that the reservation covers need no lease. Reported as in use under one, they
-                # would be granted to nobody for as long as demand lasts.
+                # Units in use that the reservation covers need no lease. Reported as in use under a lease,
+                # they could not be granted to any router for as long as the demand lasts.
                 in_use = tuple(
                     max(0, used - reserved) for used, reserved in zip(self.in_use, floor, strict=True)
                 )
@@ -165,7 +165,7 @@
             leased = self.node.leased_amounts(now)
             usable = tuple(map(sum, zip(leased, floor, strict=True))), holder.until_us if any(leased) else 0
             if usable != self.last_notified:
-                # Under the lock, so that changes are notified in their order.
+                # Under the lock, so that changes are reported in order.
                 self.last_notified = usable
                 self.on_lease_change(*usable)
         for send in sends:
@@ -179,7 +179,7 @@
             )
 
     def store_promises(self, actions: LevelActions) -> list[LevelSend]:
-        """Store the promises, and return what may be sent: no vote of a level whose file can't be written."""
+        """Store the promises; return the messages to send, without votes of levels whose write failed."""
         unstored = set()
         for level_promise in actions.promises:
             if not self.vote_files.write(level_promise.level, level_promise.promise):
@@ -193,11 +193,11 @@
         ]
 
     def set_demand(self, demand: tuple[int, ...], in_use: tuple[int, ...]) -> None:
-        """Set what the next requests report; from any thread, without waiting."""
+        """Set the demand and use that the next lease requests report; thread-safe, does not block."""
         self.in_use, self.demand = in_use, demand
 
     def allocates(self, now: int) -> bool:
-        """Return whether this process is the allocator of its own level: its region's, or the only one."""
+        """Return whether this process is the allocator of its region, or of the fleet with one level."""
         return self.levels.holder_node.is_allocator(now)
 
     def leave(self) -> None:
@@ -211,14 +211,14 @@
         self.wake.set()
 
     def spend(self, units_by_budget: dict[str, int]) -> str:
-        """Spend units of several budgets or none; return the budget that lacks units, "" where none does."""
+        """Spend units of all given budgets or of none; return the exhausted budget, or "" on success."""
         with self.lock:
             exhausted_budget = self.limiter.spend(units_by_budget, now_us())
         self.counts["refused" if exhausted_budget else "spent"] += 1
         return exhausted_budget
 
     def status(self) -> dict[str, Any]:
-        """Return the budgets' state for operators: totals, allocations, leases and who allocates."""
+        """Return the budgets' part of the status page: totals, allocations, leases and the allocator."""
         with self.lock:
             now, node = now_us(), self.levels.holder_node
             allocated = allocated_units(node, now)
@@ -245,7 +245,7 @@
             }
 
     def close(self) -> None:
-        """End the service and release the name's lock."""
+        """Stop the service and release the name's lock."""
         self.stopped.set()
         self.wake.set()
         with self.lock:
--- a/lupintack/fleet/exchange.py
+++ b/lupintack/fleet/exchange.py
@@ -1,6 +1,7 @@
 """Full-state exchanges over TCP, and connection probes: one thread, non-blocking sockets.
 
-A frame is four bytes of length and an encoded message. Connections, bytes and the time of each are bounded.
+A frame is a length of four bytes and an encoded message. The number of connections, their bytes and their
+duration are bounded.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 1 << 20
 MAX_READ_BYTES = 65_536
-MAX_INBOUND_CONNECTIONS = 16  # beyond it the oldest is closed
+MAX_INBOUND_CONNECTIONS = 16  # at this number a new one closes the oldest
 MAX_CONNECTION_PROBES = 32
 MAX_PENDING_WORK = 256
-EXCHANGE_TIMEOUT_US = 1_000_000  # from the connect to the end
+EXCHANGE_TIMEOUT_US = 1_000_000  # from the start of the connect to the end of the exchange
 CONNECTION_PROBE_TIMEOUT_US = 400_000
 POLL_INTERVAL_S = 0.02
 NEVER_US = 1 << 62
@@ -56,7 +57,7 @@
     read_buffer: bytearray = field(default_factory=bytearray)
     is_inbound: bool = False
     is_connecting: bool = False
-    on_frame: Callable[[bytes], bytes | None] | None = None  # returns the answer; None once it was called
+    on_frame: Callable[[bytes], bytes | None] | None = None  # returns the answer; set to None before the call
     on_probe_result: Callable[[bool], None] | None = None  # takes whether the connection was refused
 
     @property
@@ -66,13 +67,13 @@
 
 
 class ExchangeService:
-    """A listener, the exchanges that others begin on it, and those that this router begins.
+    """A listener, the exchanges that other routers start on it, and those that this router starts.
 
-    `begin_exchange` and `probe_connection` may be called from any thread, all else from the service's own.
+    `begin_exchange` and `probe_connection` may be called from any thread, other methods only from its own.
     """
 
     def __init__(self, listener: socket.socket, on_request: Callable[[bytes], bytes | None]) -> None:
-        """Take over a listener; `on_request` returns the answer to a frame, None to close."""
+        """Take ownership of a listener; `on_request` returns the answer to a frame, or None to close."""
         self.listener = listener
         self.on_request = on_request
         self.pending_work: deque[PendingWork] = deque(maxlen=MAX_PENDING_WORK)
@@ -85,11 +86,11 @@
     def begin_exchange(
         self, destination: tuple[str, int], frame: bytes, on_answer: Callable[[bytes], None]
     ) -> None:
-        """Send a frame and pass the answer, if one comes, to `on_answer`."""
+        """Send a frame and pass the answer, if one is received, to `on_answer`."""
         self.pending_work.append(PendingWork(destination, frame, on_answer))
 
     def probe_connection(self, destination: tuple[str, int], on_result: Callable[[bool], None]) -> None:
-        """Connect, and pass to `on_result` whether that was refused; a timeout gives no result."""
+        """Connect, and pass to `on_result` whether the connection was refused; not called on a timeout."""
         self.pending_work.append(PendingWork(destination, on_probe_result=on_result))
 
     def run(self) -> None:
@@ -100,12 +101,12 @@
         self.close()
 
     def open(self) -> None:
-        """Listen; needed before the first poll."""
+        """Register the listener; required before the first poll."""
         self.listener.setblocking(False)
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     def poll(self, timeout_s: float) -> None:
-        """Begin pending work, serve what is ready within the timeout, and close what is overdue."""
+        """Start pending work, serve connections that get ready within the timeout, and close overdue ones."""
         while self.pending_work:
             self._open(self.pending_work.popleft())
         for key, events in self.selector.select(timeout_s):
@@ -126,7 +127,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When a poll is due though nothing is ready; 0 for at once."""
+        """When a poll is due without a ready socket; 0 for immediately."""
         if self.pending_work:
             return 0
         return min((connection.deadline_us for connection in self.connections.values()), default=NEVER_US)
@@ -186,7 +187,7 @@
         self.selector.register(sock, selectors.EVENT_READ)
 
     def _on_connected(self, connection: ExchangeConnection, code: int) -> None:
-        """Handle the end of a connect, with an errno or 0; a probe, and a failed connect, is closed."""
+        """Handle the end of a connect, with an errno or 0; close probes and failed connections."""
         if not connection.is_probe and not code:
             connection.is_connecting = False
             return
@@ -215,7 +216,7 @@
         self.selector.modify(connection.sock, interest or selectors.EVENT_READ)
 
     def _transfer(self, connection: ExchangeConnection, events: int) -> bool:
-        """Write and read what is possible; return whether the connection stays open."""
+        """Write and read without blocking; return whether the connection stays open."""
         if connection.is_connecting:
             code = connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             self._on_connected(connection, code)
@@ -256,5 +257,5 @@
             try:
                 self.selector.unregister(connection.sock)
             except (KeyError, ValueError) as error:
-                LOG.warning("not registered", extra=fields(reason=error))
+                LOG.warning("connection is not registered", extra=fields(reason=error))
         connection.sock.close()
--- a/lupintack/fleet/fleet_address.py
+++ b/lupintack/fleet/fleet_address.py
@@ -1,4 +1,4 @@
-"""A router's address in the fleet, and the sockets that are bound to it."""
+"""A router's address in the fleet, and the sockets bound to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetAddress:
-    """This router's identity in the fleet, and how it finds the others."""
+    """This router's identity in the fleet, and the addresses by which it contacts the others."""
 
     name: str
     site: str
@@ -21,13 +21,13 @@
     fleet: str
     secret: str
     seeds: tuple[str, ...]  # host:port
-    address_overrides: dict[str, str]  # host:port by router, in place of the address that it advertises
+    address_overrides: dict[str, str]  # host:port by router name, instead of the advertised address
 
 
 def bind_ports(listen: tuple[str, int]) -> tuple[socket.socket, socket.socket]:
-    """Return a datagram socket and a listener on one port; ConfigError when none can be bound.
+    """Return a datagram socket and a listener on the same port; raises ConfigError if none can be bound.
 
-    Where an older process of an upgrade has the port, any other is taken.
+    If the port is in use, as by the older process during an upgrade, a free port is used instead.
     """
     host, configured_port = listen
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/lupintack/fleet/routes.py
+++ b/lupintack/fleet/routes.py
@@ -1,6 +1,6 @@
-"""Routes to other routers: the address that a router advertises, or one that the operators override.
+"""Routes to other routers: the address that a router advertises, or an override of the operator.
 
-Behind an address translation, or in a test's switch, a router has another address for each of the others.
+Behind network address translation, or a switch in tests, a router has a different address for each peer.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class RouteTable:
-    """Parsed addresses, cached by their text."""
+    """Parsed addresses, cached by their text form."""
 
     def __init__(self, overrides: Mapping[str, str]) -> None:
-        """Parse the overrides, host:port by router; ConfigError for one that is no address."""
+        """Parse the overrides, host:port by router name; raises ConfigError for an invalid address."""
         self.overrides = {
             name: address(text, f"[membership] reach.{name}") for name, text in overrides.items()
         }
         self.resolved: dict[str, tuple[str, int] | None] = {}
 
     def resolve(self, name: str, advertised: str) -> tuple[str, int] | None:
-        """Return the host and port of a router; None where it advertises no valid address."""
+        """Return the host and port of a router; None if it advertises no valid address."""
         override = self.overrides.get(name)
         if override is not None:
             return override
--- a/lupintack/fleet/start.py
+++ b/lupintack/fleet/start.py
@@ -1,4 +1,4 @@
-"""Assembly of a node's fleet modules from the operator file."""
+"""Assembles a router's fleet modules from the operator file."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class RouterCountPublisher:
-    """Passes the number of routers to the core, one settings update for each change; thread-safe."""
+    """Publishes the number of routers to the core, one settings update for each change; thread-safe."""
 
     def __init__(self, core: Core, router_counter: RouterCounter) -> None:
-        """Begin with nothing published."""
+        """Start without a published count."""
         self.core = core
         self.router_counter = router_counter
         self.lock = threading.Lock()
@@ -45,7 +45,7 @@
         self.publish_if_due()
 
     def publish_if_due(self) -> None:
-        """Publish the counts where they have changed, also by a removal delay that ran out."""
+        """Publish the counts if they have changed, also because a removal delay has expired."""
         with self.lock:
             counts = self.router_counter.counts_to_publish(now_us())
         if counts is not None:
@@ -56,7 +56,7 @@
 def create_transport(
     config: Config, operator: Operator, core: Core, admin_service: AdminService
 ) -> FleetTransport:
-    """Return this router's membership and, if enabled, its budgets: bound, not yet started."""
+    """Return this router's membership and, if enabled, its budgets: sockets bound, threads not started."""
     settings = operator.membership
     zones, zone = config.names.zones, config.settings.zone
     site = settings.site or (zones[zone] if zone < len(zones) else "")
@@ -92,7 +92,7 @@
     core: Core,
     site: str,
 ) -> BudgetService:
-    """Return the fleet's budgets at this router, not yet started, and set the core's leases to none."""
+    """Return this router's budget service, not yet started, and start the core without leased amounts."""
     from lupintack.fleet.budget_leases import core_leases, demand, in_use
     from lupintack.fleet.budgets import BudgetService
     from lupintack.settings.budget_plan import budget_list, plan_for
--- a/lupintack/fleet/status.py
+++ b/lupintack/fleet/status.py
@@ -1,4 +1,4 @@
-"""The membership's part of the status page; its keys and values are a public interface."""
+"""The membership's part of the status page. Its keys and values are a public interface."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def membership_status(membership: Membership, counters: dict[str, int], now_us: int) -> dict[str, Any]:
-    """Return this router's state and that of each other router: since when, who reported it, and why."""
+    """Return this router's state and that of every router: since when, who reported it, and why."""
     state, view = membership.state, membership.view
     dropped = {reason.value: count for reason, count in membership.drops.items() if count}
     return {
--- a/lupintack/fleet/transport.py
+++ b/lupintack/fleet/transport.py
@@ -1,7 +1,7 @@
 """One router's membership on sockets: a thread for datagrams and ticks, one for exchanges and probes.
 
-Both call the membership under one lock and execute what it returns outside of it; neither runs in the core's
-turn. Changes are passed to a callback, also outside the lock.
+Both call the membership under one lock and execute the returned actions outside of it; neither runs in a turn
+of the core. Changes are passed to a callback, also outside the lock.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from lupintack.membership.view import Record, State
 from lupintack.settings.files import address
 
-if TYPE_CHECKING:  # loaded only where budgets are divided
+if TYPE_CHECKING:  # imported at run time only if budgets are enabled
     from lupintack.fleet.budgets import BudgetService
 
 LOG = logging.getLogger("fleet")
@@ -43,7 +43,7 @@
 
 
 class FleetTransport:
-    """The membership and its sockets; `close` ends both threads."""
+    """The membership and its sockets; `close` stops all threads."""
 
     def __init__(
         self,
@@ -53,9 +53,9 @@
         on_change: Callable[[MembershipChange], None],
         is_serving: Callable[[], bool],
     ) -> None:
-        """Bind the sockets; ConfigError for an address or a seed that can't be used.
+        """Bind the sockets; raises ConfigError for an invalid address or seed.
 
-        `on_change` is called from both threads. `is_serving` is polled: a router leaves the fleet while it
+        `on_change` is called from both threads. `is_serving` is polled: the router leaves the fleet while it
         returns False.
         """
         self.fleet_address = fleet_address
@@ -77,14 +77,14 @@
     def _create_membership(self, config: MembershipConfig, seed: int) -> Membership:
         name, site = self.fleet_address.name, self.fleet_address.site
         me = Record(name, time.time_ns() // 1000, 0, State.JOINING, site, self.address)
-        # A router that is its own only seed begins alone.
+        # A router that is its own only seed starts alone.
         seeds = tuple(text for text in self.fleet_address.seeds if text != self.address)
         for text in seeds:
             address(text, "[membership] seeds")
         return Membership(me, config, Random(seed ^ me.start), seeds, self.codec.encoded_size)
 
     def start(self, spawn: Callable[[Callable[[], None], str], None]) -> None:
-        """Start the threads by `spawn`, which takes a function and a name."""
+        """Start the threads with `spawn`, which takes a function and a name."""
         self.execute(self.call_membership(self.membership.start))
         spawn(self.run, "fleet")
         spawn(self.exchanges.run, "fleet exchange")
@@ -92,14 +92,14 @@
             spawn(self.budgets.run, "budgets")
 
     def run(self) -> None:
-        """Receive datagrams and tick until `close`."""
+        """Receive datagrams and run ticks until `close`."""
         while not self.stopped.is_set():
             wait_s = (self.membership.wake_us - now_us()) / 1e6
             raw = b""
             try:
                 self.datagram_socket.settimeout(min(MAX_WAIT_S, max(MIN_WAIT_S, wait_s)))
                 raw = self.read_datagram()
-            except OSError as error:  # some kernels report here that an earlier datagram was refused
+            except OSError as error:  # some kernels report a refused earlier datagram here
                 self.counters["errors"] += 1
                 if self.stopped.is_set():
                     return
@@ -107,7 +107,7 @@
             self.process(raw)
 
     def read_datagram(self) -> bytes:
-        """Return a datagram, empty where none came within the socket's timeout; OSError for a refusal."""
+        """Return a datagram, empty on a timeout; raises OSError if an earlier datagram was refused."""
         try:
             raw, _ = self.datagram_socket.recvfrom(MAX_RECEIVE_BYTES)
         except (TimeoutError, BlockingIOError):
@@ -115,19 +115,19 @@
         return raw
 
     def process(self, raw: bytes) -> None:
-        """Handle a datagram, if there is one, and do what is due."""
+        """Handle a datagram unless it is empty, and run what is due."""
         try:
             if raw:
                 self.on_datagram(raw)
             if now_us() >= self.membership.wake_us:
                 self.execute(self.call_membership(self.membership.tick))
             self.follow_serving_state()
-        except Exception:  # a fault in one datagram must not end the thread
+        except Exception:  # an exception for one datagram must not end the thread
             self.counters["faults"] += 1
             LOG.exception("fleet")
 
     def send_datagram(self, raw: bytes, destination: tuple[str, int]) -> None:
-        """Send a datagram; one that can't be sent is counted."""
+        """Send a datagram; failures are counted."""
         self.counters["bytes.out"] += len(raw)
         try:
             self.datagram_socket.sendto(raw, destination)
@@ -148,7 +148,7 @@
         self.execute(self.call_membership(partial(self.membership.receive, len(raw), message)))
 
     def follow_serving_state(self) -> None:
-        """Leave the fleet when this router drains or ends, and rejoin when it serves again."""
+        """Leave the fleet when this router drains or stops, and rejoin when it serves again."""
         is_serving = self.is_serving()
         if not is_serving and not self.has_left:
             self.has_left = True
@@ -163,12 +163,12 @@
                 self.budgets.rejoin()
 
     def call_membership(self, method: Callable[[int], Actions]) -> Actions:
-        """Call the membership with the time, under the lock."""
+        """Call the membership with the current time, under the lock."""
         with self.lock:
             return method(now_us())
 
     def execute(self, actions: Actions) -> None:
-        """Carry out the actions of a call; not under the lock."""
+        """Execute the actions of a call; must not be called under the lock."""
         for name, advertised, message in actions.sends:
             destination = self.routes.resolve(name, advertised)
             if destination is None:
@@ -189,7 +189,7 @@
             self.publish_change(change)
 
     def send_to_router(self, name: str, advertised: str, raw: bytes) -> None:
-        """Send another module's datagram to a router; `advertised` is used while it is not in the view."""
+        """Send another module's datagram to a router; `advertised` is used if it is not in the view."""
         record = self.membership.view.records.get(name)
         destination = self.routes.resolve(name, record.address if record is not None else advertised)
         if destination is not None:
@@ -215,7 +215,7 @@
         )
         self.on_change(change)
 
-    # Called by the exchange thread
+    # Called from the exchange thread
 
     def _decode_full_state(self, raw: bytes) -> FullState | None:
         try:
@@ -225,7 +225,7 @@
             return None
 
     def on_exchange_request(self, raw: bytes) -> bytes | None:
-        """Return the answer to another router's exchange, None for a request that is dropped."""
+        """Return the answer to another router's exchange, or None for a dropped request."""
         full_state = self._decode_full_state(raw)
         if full_state is None:
             return None
@@ -235,7 +235,7 @@
         return self.codec.encode(answer)
 
     def on_exchange_answer(self, raw: bytes) -> None:
-        """Handle the answer to an exchange that this router began."""
+        """Handle the answer to an exchange that this router started."""
         full_state = self._decode_full_state(raw)
         if full_state is not None:
             self.execute(self.call_membership(partial(self.membership.on_full_state_answer, full_state)))
@@ -244,7 +244,7 @@
         """Handle the result of a connection probe."""
         self.execute(self.call_membership(partial(self.membership.on_probe_result, name, start, refused)))
 
-    # Called by other threads
+    # Called from other threads
 
     def status(self) -> dict[str, Any]:
         """Return the membership's part of the status page."""
@@ -258,7 +258,7 @@
         return json.dumps(self.status() | {"budgets": budgets})
 
     def close(self) -> None:
-        """End the threads and close the datagram socket."""
+        """Stop the threads and close the datagram socket."""
         self.stopped.set()
         if self.budgets is not None:
             self.budgets.close()
--- a/lupintack/fleet/vote_files.py
+++ b/lupintack/fleet/vote_files.py
@@ -1,6 +1,6 @@
-"""Files in `$TMPDIR` that the processes of one router name share: stored votes, and the lock of the name.
+"""Files in `$TMPDIR` shared by the processes of one router name: stored votes, and the lock of the name.
 
-Of the two processes of an upgrade, the one with the lock votes and has the name's reservations.
+During an upgrade, only the process that holds the lock votes and has the name's reservations.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def read_boot_id() -> str:
-    """Return the id of this boot of the machine; "" where it can't be read."""
+    """Return the kernel's boot id; "" if it can't be read."""
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
@@ -32,15 +32,15 @@
 
 
 def file_key(fleet: str, name: str) -> str:
-    """Return the part of a file's name that stands for a router name of a fleet."""
+    """Return the part of a file name that identifies a router name in a fleet."""
     return hashlib.blake2b(f"{fleet}\0{name}".encode(), digest_size=8).hexdigest()
 
 
 class VoteFiles:
-    """The stored promises of a name's voter, one file a level."""
+    """The stored promises of a router name's voter, one file for each level."""
 
     def __init__(self, name: str, fleet: str, region: str | None, tmp: str, terms: Terms) -> None:
-        """`region`: None where budgets have one level; `tmp`: the folder, "" for none."""
+        """`region`: None if budgets have one level; `tmp`: the directory, "" for none."""
         self.name, self.terms = name, terms
         self.boot_id = read_boot_id()
         self.groups = {Level.FLEET: fleet}
@@ -53,7 +53,7 @@
             self.paths = {level: Path(tmp) / file_name for level, file_name in names.items()}
 
     def read(self, level: Level, now_us: int) -> Promise | None:
-        """Return what the process before promised at this level, where its file can be believed."""
+        """Return the previous process's promise at this level; None if there is no valid file."""
         path = self.paths.get(level)
         if path is None:
             return None
@@ -64,7 +64,7 @@
         return vote_file.decode_promise(raw, self.name, self.groups[level], self.boot_id, self.terms, now_us)
 
     def write(self, level: Level, promise: Promise) -> bool:
-        """Replace a level's file in one step, before the vote is sent; return whether that succeeded."""
+        """Replace a level's file atomically, before the vote is sent; return whether that succeeded."""
         path = self.paths.get(level)
         if path is None:
             return False
@@ -75,31 +75,31 @@
             )
             os.replace(temporary_path, path)
         except OSError as error:
-            LOG.error("a promise can't be kept, and isn't given", extra=fields(reason=error))
+            LOG.error("promise could not be stored and is not sent", extra=fields(reason=error))
             return False
         return True
 
 
 class NameLock:
-    """The lock of a router name, which a process has until its end.
+    """The lock of a router name, which a process holds until it ends.
 
-    Without it both processes of an upgrade would vote for the name. The older one's last promise is read once
-    that process has ended, not when this one starts.
+    Without it both processes of an upgrade would vote under the name. The older process's last promise is
+    read after that process has ended, not when this one starts.
     """
 
     def __init__(self, name: str, fleet: str, tmp: str) -> None:
-        """`tmp`: the folder; with "" the lock is never acquired."""
+        """`tmp`: the directory; with "" the lock is never acquired."""
         self.path = Path(tmp) / f"lupintack-name-{file_key(fleet, name)}" if tmp else None
         self.descriptor = -1
         self.next_try_us = 0
 
     @property
     def is_held(self) -> bool:
-        """Whether this process has the lock."""
+        """Whether this process holds the lock."""
         return self.descriptor >= 0
 
     def try_acquire(self, now_us: int) -> bool:
-        """Return whether the lock has just been acquired; it is tried at most each LOCK_RETRY_US."""
+        """Try to acquire the lock, at most every LOCK_RETRY_US; return whether this call acquired it."""
         if self.is_held or self.path is None or now_us < self.next_try_us:
             return False
         self.next_try_us = now_us + LOCK_RETRY_US
--- a/lupintack/membership/observers.py
+++ b/lupintack/membership/observers.py
@@ -22,7 +22,7 @@
 
     def __init__(self, count: int) -> None:
         """Store the unsupported number."""
-        super().__init__(f"unsupported number of rings: {count} (1 to {MAX_RINGS})")
+        super().__init__(f"{count} rings: must be between 1 and {MAX_RINGS}")
         self.count = count
 
 
