--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of the membership."""
+"""Strategies and factories for tests of the membership."""
 
 from __future__ import annotations
 
--- a/tests/test_membership_counts.py
+++ b/tests/test_membership_counts.py
@@ -1,4 +1,4 @@
-"""The number of routers that share a budget."""
+"""Counting of the routers that share a budget."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
     )
 
 
-def test_counts_rise_at_once_and_fall_late_and_only_when_certain() -> None:
+def test_counts_rise_immediately_and_fall_after_the_delay_only_when_certain() -> None:
     counter = RouterCounter("a", "s", ("s", "t"), removal_delay_us=100)
-    first = counter.counts_to_publish(0)
-    assert first is not None and (first.siblings, first.by_zone, first.position) == (1, (1, 0), 0)
+    initial = counter.counts_to_publish(0)
+    assert initial is not None and (initial.siblings, initial.by_zone, initial.position) == (1, (1, 0), 0)
     counter.on_change(make_change("abcd"), 0)
-    more = counter.counts_to_publish(0)
+    increased = counter.counts_to_publish(0)
     assert (
-        more is not None
-        and (more.siblings, more.by_zone) == (4, (2, 2))
+        increased is not None
+        and (increased.siblings, increased.by_zone) == (4, (2, 2))
         and counter.counts_to_publish(0) is None
     )
     counter.on_change(make_change("ab"), 10)
@@ -29,5 +29,5 @@
     assert counter.counts_to_publish(500) is None
     counter.on_change(make_change("ab"), 501)
     assert counter.counts_to_publish(550) is None
-    fewer = counter.counts_to_publish(601)
-    assert fewer is not None and (fewer.siblings, fewer.by_zone) == (2, (2, 0))
+    decreased = counter.counts_to_publish(601)
+    assert decreased is not None and (decreased.siblings, decreased.by_zone) == (2, (2, 0))
--- a/tests/test_membership_messages.py
+++ b/tests/test_membership_messages.py
@@ -32,7 +32,7 @@
     st.integers(0, 1 << 61), st.sampled_from(State).map(int), NAMES, NAMES, st.integers(0, (1 << 64) - 1),
     st.integers(0, (1 << 64) - 1), st.integers(0, (1 << 48)), NAMES,
     st.tuples(st.integers(0, 1 << 61), st.integers(0, 1 << 61), st.integers(-1, 6)),
-    st.lists(RECORDS.map(lambda r: (*r[:3], int(r.state), *r[4:])), max_size=5),
+    st.lists(RECORDS.map(lambda record: (*record[:3], int(record.state), *record[4:])), max_size=5),
     st.lists(
         st.builds(
             SuspicionReport, NAMES, st.integers(0, 9), st.integers(0, 9), st.booleans(), st.integers(0, 9999)
@@ -44,31 +44,37 @@
 
 @given(MESSAGES, st.binary(max_size=60), st.data())
 @settings(max_examples=200)
-def test_encoded_messages_are_decoded_and_anything_else_is_refused_with_a_reason(
+def test_encoded_messages_are_decoded_and_invalid_datagrams_are_rejected(
     message: Message, noise: bytes, data: Any
 ) -> None:
     codec = MessageCodec("fleet", "secret")
     raw = codec.encode(message)
     assert codec.decode(raw) == message
-    bytes_of = {len(m.encode()) for m in (message.sender, message.site, message.address, message.target)}
+    text_lengths = {len(m.encode()) for m in (message.sender, message.site, message.address, message.target)}
     if (
         all(text.isascii() for text in (message.sender, message.site, message.address, message.target))
-        and bytes_of
+        and text_lengths
+    ):
+        gossip_bytes = sum(max_record_bytes(parse_record(record)) for record in message.records)
+        are_subjects_ascii = all(report.subject.isascii() for report in message.reports)
+        assert len(raw) <= max_message_bytes(message) + gossip_bytes or not are_subjects_ascii
+    position = data.draw(st.integers(0, len(raw) - 1))
+    corrupted = raw[:position] + bytes([raw[position] ^ data.draw(st.integers(1, 255))]) + raw[position + 1 :]
+    for invalid in (
+        corrupted,
+        raw[:position],
+        noise,
+        raw + b"x",
+        MessageCodec("other", "secret").encode(message),
     ):
-        news = sum(max_record_bytes(parse_record(one)) for one in message.records)
-        reports = all(one.subject.isascii() for one in message.reports)
-        assert len(raw) <= max_message_bytes(message) + news or not reports
-    at = data.draw(st.integers(0, len(raw) - 1))
-    spoilt = raw[:at] + bytes([raw[at] ^ data.draw(st.integers(1, 255))]) + raw[at + 1 :]
-    for wrong in (spoilt, raw[:at], noise, raw + b"x", MessageCodec("other", "secret").encode(message)):
         with pytest.raises(MessageError):
-            codec.decode(wrong)
-    with pytest.raises(MessageError) as found:
+            codec.decode(invalid)
+    with pytest.raises(MessageError) as raised:
         codec.decode(raw[:1] + bytes([VERSION + 1]) + raw[2:])
-    assert found.value.reason is DropReason.VERSION
+    assert raised.value.reason is DropReason.VERSION
 
 
-def test_appended_fields_are_skipped_and_values_out_of_range_are_refused() -> None:
+def test_appended_fields_are_skipped_and_out_of_range_values_are_rejected() -> None:
     codec = MessageCodec("fleet", "secret")
     message = Message(0, "a", 1, 0, 1, "s", "h:1", 1)
     body = codec.encoder.encode(
@@ -83,10 +89,10 @@
         ("sender", "x" * 65),
         ("sequence", -1),
     ):
-        wrong = Message(0, "a", 1, 0, 1, "s", "h:1", 1)
-        setattr(wrong, field, value)
+        invalid = Message(0, "a", 1, 0, 1, "s", "h:1", 1)
+        setattr(invalid, field, value)
         with pytest.raises(MessageError):
-            codec.decode(codec.encode(wrong))
-    whole = FullState(("a", 1, 0, 1, "s", "h:1"), 5, [("b", 1, 0, 9, "s", "h:1")])
+            codec.decode(codec.encode(invalid))
+    full_state = FullState(("a", 1, 0, 1, "s", "h:1"), 5, [("b", 1, 0, 9, "s", "h:1")])
     with pytest.raises(MessageError):
-        codec.decode_full_state(codec.encode(whole))
+        codec.decode_full_state(codec.encode(full_state))
--- a/tests/test_membership_observers.py
+++ b/tests/test_membership_observers.py
@@ -1,4 +1,4 @@
-"""Observer rings."""
+"""Assignment of observers by the observer rings."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
         observers = rings.observers_of(name)
         assert name not in observers and 1 <= len(observers) <= 6
         assert all(name in rings.observed_by(observer) for observer in observers)
-    before = {name: set(rings.observers_of(name)) for name in names}
+    previous = {name: set(rings.observers_of(name)) for name in names}
     removed = data.draw(st.sampled_from(names))
     rings.remove(removed)
-    moved = [name for name in names if name != removed and set(rings.observers_of(name)) != before[name]]
-    assert len(moved) <= 6 and removed not in rings.names
+    changed = [name for name in names if name != removed and set(rings.observers_of(name)) != previous[name]]
+    assert len(changed) <= 6 and removed not in rings.names
 
 
 def test_suspects_are_skipped_as_observers_and_replaced() -> None:
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -1,4 +1,4 @@
-"""Records and views: merging, bounds, the view id."""
+"""Records and views: merging, size limit and view id."""
 
 from __future__ import annotations
 
@@ -12,32 +12,36 @@
 
 
 @given(RECORDS, RECORDS, RECORDS)
-def test_join_is_commutative_associative_and_idempotent(one: Record, two: Record, three: Record) -> None:
-    two, three = two._replace(name=one.name), three._replace(name=one.name)
-    assert join(one, two) == join(two, one)
-    assert join(join(one, two), three) == join(one, join(two, three))
-    assert join(one, one) == one
+def test_join_is_commutative_associative_and_idempotent(first: Record, second: Record, third: Record) -> None:
+    second, third = second._replace(name=first.name), third._replace(name=first.name)
+    assert join(first, second) == join(second, first)
+    assert join(join(first, second), third) == join(first, join(second, third))
+    assert join(first, first) == first
 
 
 @given(st.lists(RECORDS, max_size=30), st.randoms(use_true_random=False))
 def test_views_with_the_same_records_are_equal_and_their_id_matches_their_members(
     records: list[Record], random: Any
 ) -> None:
-    one, two = View(8, 1000), View(8, 1000)
-    for r in records:
-        one.merge(r, 0)
+    first, second = View(8, 1000), View(8, 1000)
+    for record in records:
+        first.merge(record, 0)
     shuffled = [*records, *records[:5]]
     random.shuffle(shuffled)
-    for r in shuffled:
-        two.merge(r, 0)
-    assert one.records == two.records and one.id == two.id and one.names == two.names
+    for record in shuffled:
+        second.merge(record, 0)
+    assert first.records == second.records and first.id == second.id and first.names == second.names
     counted = 0
-    for name in one.names:
-        counted ^= view_id_part(name, one.records[name].start)
-    assert counted == one.id and one.suspects <= one.names and not one.names & set(one.terminal_since_us)
+    for name in first.names:
+        counted ^= view_id_part(name, first.records[name].start)
+    assert (
+        counted == first.id
+        and first.suspects <= first.names
+        and not first.names & set(first.terminal_since_us)
+    )
 
 
-def test_left_wins_over_failed_and_a_later_process_over_both() -> None:
+def test_left_overrides_failed_and_a_later_process_overrides_both() -> None:
     view = View(8, 1000)
     view.merge(make_record("a", State.LEFT), 0)
     assert not view.merge(make_record("a", State.FAILED), 1) and view.records["a"].state is State.LEFT
@@ -45,7 +49,7 @@
     assert not view.merge(make_record("a", State.FAILED, start=1, incarnation=9), 3)
 
 
-def test_a_full_table_evicts_the_oldest_terminal_record_and_refuses_names_without_one() -> None:
+def test_full_table_evicts_the_oldest_terminal_record_or_refuses_new_names() -> None:
     view = View(3, 1000)
     for n, name in enumerate("abc"):
         view.merge(make_record(name, State.FAILED if name != "c" else State.ALIVE), n)
