--- a/lupintack/fleet/budget_levels.py
+++ b/lupintack/fleet/budget_levels.py
@@ -56,7 +56,7 @@
     def holder_node(self) -> BudgetNode:
         """The node of the level at which this process holds leases to spend."""
 
-    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now_us: int) -> None:
         """Start to vote under this process's name, at each level where the name is a voter."""
 
     def decode(self, raw: bytes) -> ReceivedDatagram:
@@ -65,7 +65,7 @@
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """Return the datagram for a message."""
 
-    def status(self, now: int) -> dict[str, Any]:
+    def status(self, now_us: int) -> dict[str, Any]:
         """Return the fields of the status page that depend on the number of levels."""
 
 
@@ -78,7 +78,7 @@
         budgets: Sequence[Budget],
         names: Sequence[str],
         codec: MessageCodec,
-        now: int,
+        now_us: int,
     ) -> None:
         """`names`: the router names that have reservations."""
         self.budgets = tuple(budgets)
@@ -94,7 +94,7 @@
             allocatable_units,
             router.terms,
             Random(router.start),
-            now,
+            now_us,
             votes=False,
         )
 
@@ -103,20 +103,20 @@
         """The node of the only level."""
         return self.node
 
-    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now_us: int) -> None:
         """See Levels."""
-        self.node.become_voter(read_promise(Level.FLEET), now)
+        self.node.become_voter(read_promise(Level.FLEET), now_us)
 
     def decode(self, raw: bytes) -> ReceivedDatagram:
         """See Levels."""
         sender, address, message = self.codec.decode(raw)
-        return ReceivedDatagram(sender, address, lambda now: self.node.receive(sender, message, now))
+        return ReceivedDatagram(sender, address, lambda now_us: self.node.receive(sender, message, now_us))
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """See Levels."""
         return self.codec.encode(sender, address, send.message)
 
-    def status(self, now: int) -> dict[str, Any]:
+    def status(self, now_us: int) -> dict[str, Any]:
         """See Levels."""
         return {"level": Level.FLEET.value}
 
@@ -124,14 +124,14 @@
 class TwoLevels:
     """Two levels: a region's allocator leases to its routers and holds a lease of the fleet's allocator."""
 
-    def __init__(self, router: RouterIdentity, plan: RegionPlan, codec: MessageCodec, now: int) -> None:
+    def __init__(self, router: RouterIdentity, plan: RegionPlan, codec: MessageCodec, now_us: int) -> None:
         """Create the nodes of a router in the region of `plan`."""
         self.budgets, self.plan = plan.budgets, plan
         is_voter = router.name in plan.region.voters
         self.reservations = plan.name_reservations if is_voter else (0,) * len(plan.budgets)
         self.codec = TwoLevelCodec(codec, plan.region.name, plan.fleet_wide, len(plan.budgets))
         self.node = TwoLevelNode(
-            router.name, router.start, router.voters, plan, router.terms, Random(router.start), now
+            router.name, router.start, router.voters, plan, router.terms, Random(router.start), now_us
         )
 
     @property
@@ -139,42 +139,44 @@
         """The node of the region's level."""
         return self.node.region
 
-    def become_voter(self, read_promise: PromiseReader, now: int) -> None:
+    def become_voter(self, read_promise: PromiseReader, now_us: int) -> None:
         """See Levels."""
-        self.node.become_voter(read_promise, now)
+        self.node.become_voter(read_promise, now_us)
 
     def decode(self, raw: bytes) -> ReceivedDatagram:
         """See Levels."""
         sender, address, level, message = self.codec.decode(raw)
-        return ReceivedDatagram(sender, address, lambda now: self.node.receive(sender, level, message, now))
+        return ReceivedDatagram(
+            sender, address, lambda now_us: self.node.receive(sender, level, message, now_us)
+        )
 
     def encode(self, sender: str, address: str, send: LevelSend) -> bytes:
         """See Levels."""
         return self.codec.encode(sender, address, send.level, send.message)
 
-    def status(self, now: int) -> dict[str, Any]:
+    def status(self, now_us: int) -> dict[str, Any]:
         """See Levels."""
         fleet = self.node.fleet
         return {
             "level": Level.REGION.value,
             "region": self.plan.region.name,
             "fleet": {
-                **allocation_status(fleet, now),
-                "given": allocated_units(fleet, now),
+                **allocation_status(fleet, now_us),
+                "given": allocated_units(fleet, now_us),
                 "budgets": [budget.name for budget in self.budgets[: self.plan.fleet_wide]],
             },
-            "parent_lease": self._parent_lease(now),
+            "parent_lease": self._parent_lease(now_us),
         }
 
-    def _parent_lease(self, now: int) -> dict[str, Any] | None:
+    def _parent_lease(self, now_us: int) -> dict[str, Any] | None:
         """Return the parent lease of this process; None if it is not its region's allocator."""
         node = self.node
-        if not node.region.is_allocator(now):
+        if not node.region.is_allocator(now_us):
             return None
         fleet_wide = self.plan.fleet_wide
         return {
-            "ends_ms": max(0, node.fleet.holder.until_us - now) // 1000,
-            "amounts": list(node.fleet.leased_amounts(now)),
+            "ends_ms": max(0, node.fleet.holder.until_us - now_us) // 1000,
+            "amounts": list(node.fleet.leased_amounts(now_us)),
             "covered": list(node.parent.covered),
             "reserved": list(self.plan.region_pool[:fleet_wide]),
         }
@@ -186,28 +188,28 @@
     names: Sequence[str],
     codec: MessageCodec,
     plan: RegionPlan | None,
-    now: int,
+    now_us: int,
 ) -> Levels:
     """Return two levels if there is a plan, else one level."""
     if plan is not None:
-        return TwoLevels(router, plan, codec, now)
-    return OneLevel(router, budgets, names, codec, now)
+        return TwoLevels(router, plan, codec, now_us)
+    return OneLevel(router, budgets, names, codec, now_us)
 
 
-def allocation_status(node: BudgetNode, now: int) -> dict[str, Any]:
+def allocation_status(node: BudgetNode, now_us: int) -> dict[str, Any]:
     """Return a level's allocator as seen by this process, and the epoch that holds its promised vote."""
-    is_allocator = node.is_allocator(now)
+    is_allocator = node.is_allocator(now_us)
     return {
         "epoch": list(node.leader) if node.leader is not None else None,
         "divides": is_allocator,
-        "ready": is_allocator and node.allocator is not None and now >= node.allocator.ready_us,
-        "votes_for": list(node.voter.promised_to(now) or ()) if node.voter is not None else None,
+        "ready": is_allocator and node.allocator is not None and now_us >= node.allocator.ready_us,
+        "votes_for": list(node.voter.promised_to(now_us) or ()) if node.voter is not None else None,
     }
 
 
-def allocated_units(node: BudgetNode, now: int) -> list[int] | None:
+def allocated_units(node: BudgetNode, now_us: int) -> list[int] | None:
     """Return the granted units of each budget at a level; None if this process is not its allocator."""
-    if node.allocator is None or not node.is_allocator(now):
+    if node.allocator is None or not node.is_allocator(now_us):
         return None
     return list(node.allocator.allocated())
 
--- a/lupintack/fleet/budgets.py
+++ b/lupintack/fleet/budgets.py
@@ -112,9 +112,9 @@
         now = now_us()
         try:
             if now >= self.node.wake_us:
-                self.call(self.node.tick)
+                self.call_node(self.node.tick)
             elif 0 < self.last_notified[1] <= now:
-                self.call(lambda now: Actions())  # the lease has expired: notify
+                self.call_node(lambda now: Actions())  # the lease has expired: notify
             if now >= self.demand_requested_us + self.demand_interval_us:
                 self.demand_requested_us = now
                 self.request_demand()
@@ -140,10 +140,10 @@
         if len(self.addresses) >= MAX_ADDRESSES:  # evict the sender with the oldest datagram
             del self.addresses[next(iter(self.addresses))]
         self.addresses[datagram.sender] = datagram.address
-        self.call(datagram.call)
+        self.call_node(datagram.call)
         self.wake.set()
 
-    def call(self, method: Callable[[int], LevelActions | Actions]) -> None:
+    def call_node(self, method: Callable[[int], LevelActions | Actions]) -> None:
         """Call the node and execute its actions in order; promises are stored under the lock."""
         with self.lock:
             now = now_us()
@@ -202,7 +202,7 @@
 
     def leave(self) -> None:
         """Release the lease and the voters' promises."""
-        self.call(self.node.leave)
+        self.call_node(self.node.leave)
 
     def rejoin(self) -> None:
         """Request leases again after `leave`."""
--- a/lupintack/membership/failure_arbiter.py
+++ b/lupintack/membership/failure_arbiter.py
@@ -95,9 +95,9 @@
         return max(min(MIN_QUORUM, observer_count), math.ceil(self.config.quorum_share * observer_count))
 
     def evaluate(
-        self, suspicion: Suspicion, now_us: int, site_of: Callable[[str], str], may_not_decide: bool
+        self, suspicion: Suspicion, now_us: int, site_of: Callable[[str], str], refusals_only: bool
     ) -> Assessment:
-        """Assess one suspicion; with `may_not_decide`, only refused connections are a proof."""
+        """Assess one suspicion; with `refusals_only`, only refused connections are a proof."""
         reports = self._valid_reports(suspicion)
         if not reports:
             return Assessment(None, False)
@@ -114,7 +114,7 @@
         silence_us = {observer: report.silence_us(now_us) for observer, report in reports.items()}
         silent = [observer for observer, silence in silence_us.items() if silence >= timeout_us]
         # Silence may be a network partition, whose smaller side must not remove the other routers.
-        has_failed = agree(silent) and not may_not_decide
+        has_failed = agree(silent) and not refusals_only
         near_us = timeout_us - self.config.max_decision_delay_us
         is_imminent = len(unreachable) > 0 or any(silence >= near_us for silence in silence_us.values())
         return Assessment(State.FAILED if has_failed else None, is_imminent)
@@ -135,11 +135,7 @@
         return (longest_us - (longest_us - shortest_us) * agreement) * suspicion.timeout_factor
 
     def decide(
-        self,
-        now_us: int,
-        suspicions: Sequence[Suspicion],
-        site_of: Callable[[str], str],
-        may_not_decide: bool,
+        self, now_us: int, suspicions: Sequence[Suspicion], site_of: Callable[[str], str], refusals_only: bool
     ) -> list[FailureDecision]:
         """Return the routers that have failed or ended.
 
@@ -147,7 +143,7 @@
         """
         decided, near_count = [], 0
         for suspicion in suspicions:
-            assessment = self.evaluate(suspicion, now_us, site_of, may_not_decide)
+            assessment = self.evaluate(suspicion, now_us, site_of, refusals_only)
             if assessment.state is not None:
                 decided.append(FailureDecision(suspicion.name, assessment.state))
             elif assessment.is_imminent:
--- a/lupintack/membership/suspicions.py
+++ b/lupintack/membership/suspicions.py
@@ -113,8 +113,8 @@
         if not state.arbiter.reports:
             return
         state.arbiter.expire(now_us)
-        may_not_decide = self.is_minority or self._is_unsettled(now_us)
-        for decision in state.arbiter.decide(now_us, self._suspicions(), state.site_of, may_not_decide):
+        refusals_only = self.is_minority or self._is_unsettled(now_us)
+        for decision in state.arbiter.decide(now_us, self._suspicions(), state.site_of, refusals_only):
             reports = state.arbiter.reports.get(decision.name, {})
             state.reasons[decision.name] = ", ".join(
                 _reason(observer, report.is_unreachable) for observer, report in sorted(reports.items())
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -157,13 +157,13 @@
         first, second = part(tmp_path, []), part(tmp_path, [])
         for one in (first, second):
             one.set_demand((50,), (14,))
-            one.call(one.node.tick)
+            one.call_node(one.node.tick)
         assert first.name_reservations == (10,) and (
             first.levels.holder_node.in_use,
             second.levels.holder_node.in_use,
         ) == ((4,), (14,))
         first.set_demand((50,), (3,))
-        first.call(first.node.tick)
+        first.call_node(first.node.tick)
         assert first.levels.holder_node.in_use == (0,)
         first.close()
         second.close()
@@ -177,7 +177,7 @@
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old, new = part(tmp_path, sent[0]), part(tmp_path, sent[1])
         for one in (old, new):
-            one.call(one.node.tick)
+            one.call_node(one.node.tick)
         assert old.levels.holder_node.voter is not None and new.levels.holder_node.voter is None
         assert old.status()["budgets"][0]["floor"] == 10 and new.status()["budgets"][0]["floor"] == 0
         old.levels.holder_node.voter.abstain_until_us = 0
@@ -186,13 +186,13 @@
         assert old.status()["votes_for"] == list(epoch) and new.status()["votes_for"] is None
         assert "b" not in [to for to, _ in sent[1]]
         old.close()
-        new.call(new.node.tick)
+        new.call_node(new.node.tick)
         assert new.status()["votes_for"] == list(epoch) and new.status()["budgets"][0]["floor"] == 10
         new.close()
     nowhere = BudgetService(
         "v", 1, "f", "", [], ["v"], ["v"], Terms(), MessageCodec("f", "s"), lambda to, told, raw: None, ""
     )
-    nowhere.call(nowhere.node.tick)
+    nowhere.call_node(nowhere.node.tick)
     assert nowhere.levels.holder_node.voter is None
 
 
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -224,7 +224,7 @@
     other, there = Epoch(4, "d", 1), Epoch(5, "b", 1)
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old = service(tmp_path, [])
-        old.call(old.node.tick)
+        old.call_node(old.node.tick)
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         for node in (old.levels.node.fleet, old.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
@@ -234,7 +234,7 @@
         assert old.status()["votes_for"] == list(there) and old.status()["fleet"]["votes_for"] == list(other)
         old.close()
         new = service(tmp_path, [])
-        new.call(new.node.tick)
+        new.call_node(new.node.tick)
         assert new.status()["votes_for"] == list(there) and new.status()["fleet"]["votes_for"] == list(other)
         new.close()
         votes = sorted(file.name.rpartition("-")[2] for file in tmp_path.glob("lupintack-vote-*"))
@@ -245,7 +245,7 @@
     sent: list[Any] = []
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         one = service(tmp_path, sent)
-        one.call(one.node.tick)
+        one.call_node(one.node.tick)
         for node in (one.levels.node.fleet, one.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
@@ -263,7 +263,7 @@
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old, new = service(tmp_path, []), service(tmp_path, [])
         for one in (old, new):
-            one.call(one.node.tick)
+            one.call_node(one.node.tick)
         assert [one["floor"] for one in old.status()["budgets"]] == [1, 2]
         assert [one["floor"] for one in new.status()["budgets"]] == [0, 0]
         assert new.status()["votes_for"] is None and new.status()["fleet"]["votes_for"] is None
