--- a/lupintack/membership/suspicions.py
+++ b/lupintack/membership/suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicion of silent routers: reports between observers, and the decision that a subject has failed."""
+"""Suspicion of silent routers: reports between observers, and the removal of subjects that have failed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The suspicions in which one router takes part as an observer."""
 
     def __init__(self, state: LocalState, detector: FailureDetector, outbox: Outbox) -> None:
-        """Begin without any suspicion."""
+        """Start without suspicions."""
         self.state = state
         self.config = state.config
         self.detector = detector
@@ -25,11 +25,12 @@
 
     @property
     def is_minority(self) -> bool:
-        """Whether fewer than three in five members are free of suspicion: this side may be the one cut off.
+        """Whether fewer than 60 percent of the members are unsuspected: this side may be the smaller one.
 
-        A simple majority would do if all suspicions arose at once; in a part of just under half, some of the
-        others are not suspected yet when the first could be removed. Members that were silent until their
-        removal still count, or a small part could remove a few and become the larger part of what is left.
+        A simple majority would suffice if all suspicions arose at the same time. In a partition of just under
+        half of the fleet, some of the others are not yet suspected when the first could be removed. Members
+        that were removed as silent still count; otherwise a small partition could remove a few members and
+        become the majority of the remaining ones.
         """
         view = self.state.view
         total = len(view.names) + len(view.failed)
@@ -58,14 +59,16 @@
         return self.state.rings.observers_of(name, self.detector.suspects - {name})
 
     def _suspect(self, subject: ObservedRouter, record: Record, now_us: int) -> SuspicionReport | None:
-        """Register the own report; return what is sent to other observers, None within the interval."""
+        """Register this router's report; return the one to send, or None within the report interval."""
         state = self.state
         if record.state is not State.SUSPECT:
             record = state.mark(record, State.SUSPECT, now_us)
             state.reasons[subject.name] = _reason(state.name, subject.is_unreachable)
         silent_us = now_us - subject.last_seen_us
-        own = FailureReport(record.start, record.incarnation, subject.is_unreachable, silent_us, now_us)
-        state.arbiter.add_report(state.name, subject.name, own)
+        own_report = FailureReport(
+            record.start, record.incarnation, subject.is_unreachable, silent_us, now_us
+        )
+        state.arbiter.add_report(state.name, subject.name, own_report)
         interval_us = self.config.report_interval_us
         if now_us - state.reported_us.get(subject.name, -interval_us) < interval_us:
             return None
@@ -75,16 +78,16 @@
         )
 
     def _send_reports(self, reports: dict[str, list[SuspicionReport]]) -> None:
-        for observer, subjects in reports.items():
+        for observer, subject_reports in reports.items():
             address = self.state.view.records[observer].address
-            for first in range(0, len(subjects), MAX_REPORTS_PER_MESSAGE):
-                batch = subjects[first : first + MAX_REPORTS_PER_MESSAGE]
+            for first in range(0, len(subject_reports), MAX_REPORTS_PER_MESSAGE):
+                batch = subject_reports[first : first + MAX_REPORTS_PER_MESSAGE]
                 self.outbox.send(observer, address, MessageKind.REPORT, reports=batch)
 
     def on_reports(self, message: Message, now_us: int) -> None:
         """Register another observer's reports, except while this process listens after a local pause.
 
-        What was queued during the pause may be long out of date.
+        Messages queued during the pause may be out of date.
         """
         state = self.state
         if now_us < state.listen_until_us:
@@ -103,15 +106,15 @@
             state.reasons[report.subject] = _reason(message.sender, report.is_unreachable)
 
     def decide_failures(self, now_us: int) -> None:
-        """Remove the suspects that enough of their observers report, this router among them."""
+        """Remove the suspects that this router observes and that enough of their observers report."""
         state = self.state
         if now_us < state.listen_until_us or state.is_silent or state.me.state is State.JOINING:
             return
         if not state.arbiter.reports:
             return
         state.arbiter.expire(now_us)
-        may_not_decide = self.is_minority or self._is_unsettled(now_us)
-        for decision in state.arbiter.decide(now_us, self._suspicions(), state.site_of, may_not_decide):
+        refusals_only = self.is_minority or self._is_unsettled(now_us)
+        for decision in state.arbiter.decide(now_us, self._suspicions(), state.site_of, refusals_only):
             reports = state.arbiter.reports.get(decision.name, {})
             state.reasons[decision.name] = ", ".join(
                 _reason(observer, report.is_unreachable) for observer, report in sorted(reports.items())
@@ -120,7 +123,7 @@
             self.outbox.push_gossip(now_us, self.config.push_fanout)
 
     def _suspicions(self) -> list[Suspicion]:
-        found = []
+        suspicions = []
         for name in self.state.arbiter.reports:
             record = self.state.view.records.get(name)
             if record is None or record.state is not State.SUSPECT:
@@ -129,11 +132,11 @@
             if self.state.name in observers:
                 recoveries = min(MAX_RECOVERY_EXPONENT, len(self.state.recoveries.get(name, ())))
                 factor = self.config.recovery_timeout_factor**recoveries
-                found.append(Suspicion(name, record.start, record.incarnation, observers, factor))
-        return found
+                suspicions.append(Suspicion(name, record.start, record.incarnation, observers, factor))
+        return suspicions
 
     def _is_unsettled(self, now_us: int) -> bool:
-        """Whether suspicions still arise, so that the extent of a cut is not known yet."""
+        """Whether suspicions are still arising, so that the extent of a partition is not yet known."""
         view, config = self.state.view, self.config
         ages_us = [now_us - view.since_us[name] for name in view.suspects]
         settled_us = config.failure_timeout_us - config.suspicion_timeout_us + config.max_suspicion_settle_us
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -168,14 +168,14 @@
         first, second = make_service(tmp_path, []), make_service(tmp_path, [])
         for service in (first, second):
             service.set_demand((50,), (14,))
-            service.call(service.node.tick)
+            service.call_node(service.node.tick)
         assert first.name_reservations == (10,) and (
-            first.levels.holding.in_use,
-            second.levels.holding.in_use,
+            first.levels.holder_node.in_use,
+            second.levels.holder_node.in_use,
         ) == ((4,), (14,))
         first.set_demand((50,), (3,))
-        first.call(first.node.tick)
-        assert first.levels.holding.in_use == (0,)
+        first.call_node(first.node.tick)
+        assert first.levels.holder_node.in_use == (0,)
         first.close()
         second.close()
 
@@ -188,23 +188,23 @@
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old, new = make_service(tmp_path, sent[0]), make_service(tmp_path, sent[1])
         for service in (old, new):
-            service.call(service.node.tick)
-        assert old.levels.holding.voter is not None and new.levels.holding.voter is None
+            service.call_node(service.node.tick)
+        assert old.levels.holder_node.voter is not None and new.levels.holding.voter is None
         assert old.status()["budgets"][0]["floor"] == 10 and new.status()["budgets"][0]["floor"] == 0
-        old.levels.holding.voter.abstain_until_us = 0
-        old.take(codec.encode("a", "", VoteRequest(epoch, 1)))
-        new.take(codec.encode("b", "", VoteRequest(other, 1)))
+        old.levels.holder_node.voter.abstain_until_us = 0
+        old.on_datagram(codec.encode("a", "", VoteRequest(epoch, 1)))
+        new.on_datagram(codec.encode("b", "", VoteRequest(other, 1)))
         assert old.status()["votes_for"] == list(epoch) and new.status()["votes_for"] is None
         assert "b" not in [to for to, _ in sent[1]]
         old.close()
-        new.call(new.node.tick)
+        new.call_node(new.node.tick)
         assert new.status()["votes_for"] == list(epoch) and new.status()["budgets"][0]["floor"] == 10
         new.close()
     without_folder = BudgetService(
         "v", 1, "f", "", [], ["v"], ["v"], Terms(), MessageCodec("f", "s"), lambda to, address, raw: None, ""
     )
-    without_folder.call(without_folder.node.tick)
-    assert without_folder.levels.holding.voter is None
+    without_folder.call_node(without_folder.node.tick)
+    assert without_folder.levels.holder_node.voter is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -244,19 +244,19 @@
     fleet_epoch, region_epoch = Epoch(4, "d", 1), Epoch(5, "b", 1)
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old = make_service(tmp_path, [])
-        old.call(old.node.tick)
+        old.call_node(old.node.tick)
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         for node in (old.levels.node.fleet, old.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
-        old.take(codec.encode("d", "", Level.FLEET, VoteRequest(fleet_epoch, 1)))
-        old.take(codec.encode("b", "", Level.REGION, VoteRequest(region_epoch, 1)))
+        old.on_datagram(codec.encode("d", "", Level.FLEET, VoteRequest(fleet_epoch, 1)))
+        old.on_datagram(codec.encode("b", "", Level.REGION, VoteRequest(region_epoch, 1)))
         assert old.status()["votes_for"] == list(region_epoch) and old.status()["fleet"]["votes_for"] == list(
             fleet_epoch
         )
         old.close()
         new = make_service(tmp_path, [])
-        new.call(new.node.tick)
+        new.call_node(new.node.tick)
         assert new.status()["votes_for"] == list(region_epoch) and new.status()["fleet"]["votes_for"] == list(
             fleet_epoch
         )
@@ -269,16 +269,16 @@
     sent: list[Any] = []
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         service = make_service(tmp_path, sent)
-        service.call(service.node.tick)
+        service.call_node(service.node.tick)
         for node in (service.levels.node.fleet, service.levels.node.region):  # type: ignore[union-attr]
             assert node.voter is not None
             node.voter.abstain_until_us = 0
         service.vote_files.paths[Level.FLEET] = tmp_path / "no folder" / "vote"
         codec = TwoLevelCodec(MessageCodec("f", "s"), "east", 1, 2)
         sent.clear()
-        service.take(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
+        service.on_datagram(codec.encode("d", "", Level.FLEET, VoteRequest(Epoch(4, "d", 1), 1)))
         assert not sent and service.counts["unkept"] == 1
-        service.take(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
+        service.on_datagram(codec.encode("b", "", Level.REGION, VoteRequest(Epoch(5, "b", 1), 1)))
         assert [to for to, _ in sent] == ["b"]
         service.close()
 
@@ -287,7 +287,7 @@
     with unittest.mock.patch.object(vote_files, "LOCK_RETRY_US", 0):
         old, new = make_service(tmp_path, []), make_service(tmp_path, [])
         for service in (old, new):
-            service.call(service.node.tick)
+            service.call_node(service.node.tick)
         assert [row["floor"] for row in old.status()["budgets"]] == [1, 2]
         assert [row["floor"] for row in new.status()["budgets"]] == [0, 0]
         assert new.status()["votes_for"] is None and new.status()["fleet"]["votes_for"] is None
@@ -297,8 +297,8 @@
 
 def test_dropped_datagrams_of_other_version_or_region_are_counted(tmp_path: Path) -> None:
     service = make_service(tmp_path, [])
-    service.take(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
-    service.take(
+    service.on_datagram(BudgetCodec(MessageCodec("f", "s"), 2).encode("x", "", Redirect(EPOCH)))
+    service.on_datagram(
         TwoLevelCodec(MessageCodec("f", "s"), "west", 1, 2).encode("x", "", Level.REGION, Redirect(EPOCH))
     )
     assert service.counts == {"dropped.version": 1, "dropped.foreign": 1} and not service.addresses
