--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -189,7 +189,7 @@
         old, new = make_service(tmp_path, sent[0]), make_service(tmp_path, sent[1])
         for service in (old, new):
             service.call_node(service.node.tick)
-        assert old.levels.holder_node.voter is not None and new.levels.holding.voter is None
+        assert old.levels.holder_node.voter is not None and new.levels.holder_node.voter is None
         assert old.status()["budgets"][0]["floor"] == 10 and new.status()["budgets"][0]["floor"] == 0
         old.levels.holder_node.voter.abstain_until_us = 0
         old.on_datagram(codec.encode("a", "", VoteRequest(epoch, 1)))
