--- a/lupintack/core/__init__.py
+++ b/lupintack/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests in flight, attempts, and the actor that hosts the decisions. It knows no wire."""
+"""The core: requests in flight, attempts, and the actor that runs the decisions; no protocol code."""
--- a/lupintack/core/actor.py
+++ b/lupintack/core/actor.py
@@ -1,7 +1,7 @@
-"""The core: an actor that hosts the decision module between the fronts and the members.
+"""The core: an actor that runs the decision module between the fronts and the members.
 
-One turn takes the messages that have come in, reads the clock once, hands the router its events, and performs
-the actions that it returns. `mailbox` says which thread runs a turn.
+One turn takes a batch of messages from the mailbox, reads the clock once, passes the resulting events to the
+router, and performs the actions that it returns. `mailbox` describes which thread runs a turn.
 """
 
 from __future__ import annotations
@@ -57,12 +57,12 @@
 from lupintack.pauses import PROCESS
 
 LOG = logging.getLogger("core")
-TIMER_INTERVAL_S = 0.01  # the timers' thread checks this often: no timer is set closer than that
+TIMER_INTERVAL_S = 0.01  # period of the timer check, and so the resolution of timers
 LINK_TICK_INTERVAL_US = 250_000
 
 
 class Core:
-    """Hosts one router: takes messages from any thread, and runs the turns that handle them."""
+    """Runs one router: accepts messages from any thread, and handles them in turns."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         connect: Connect,
         local_cache: LocalCache | None = None,
     ) -> None:
-        """Take `connect`, which opens the link to a member at its first attempt."""
+        """`connect` opens the link to a member; it is called at the member's first attempt."""
         self.router = Router(settings, seed)
         self.member_table = member_table
         self.local_cache = local_cache
@@ -98,7 +98,7 @@
             self._defer_event,
         )
         self.shutdown: Shutdown | None = None
-        self.is_stopped = False  # the program goes on without this core, as tests do
+        self.is_stopped = False  # set by `close`; the process may go on without this core, as in tests
         self.trace = writer(os.environ)
 
     @property
@@ -119,24 +119,24 @@
     # Called by other threads
 
     def submit(self, request: ClientRequest) -> None:
-        """Take a request that a front has read."""
+        """Accept a request that a front has read."""
         self.mailbox.enqueue(request)
 
     def free_capacity(self) -> int:
-        """Return how many more requests would be accepted; a front asks before it reads one."""
+        """Return how many more requests would be accepted; fronts check it before they read one."""
         return self.settings.max_in_flight - len(self.requests.by_number) - len(self.mailbox.messages)
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """Note that a client has left: nothing of its request is written to a member from here on."""
+        """Mark a request's client as disconnected: from here on the request is not written to a member."""
         request.is_disconnected = True
         self.mailbox.enqueue(ClientDisconnection(request))
 
     def on_attempt_result(self, result: AttemptResult) -> None:
-        """Take the end of an attempt from a member's link."""
+        """Accept the result of an attempt from a member's link."""
         self.mailbox.enqueue(result)
 
     def on_endpoints_changed(self, change: TableChange) -> None:
-        """Take a change of the member table."""
+        """Accept a change of the member table."""
         self.mailbox.enqueue(change)
 
     def enqueue(self, message: Message) -> None:
@@ -144,9 +144,9 @@
         self.mailbox.enqueue(message)
 
     def run(self) -> None:
-        """Run timers and left-over turns until the core is closed; the body of the core's own thread.
+        """Run timers and pending turns until the core is closed; the body of the core's own thread.
 
-        It goes on after a Shutdown: requests that are still read then have their deadlines, too.
+        Continues after a Shutdown, as the deadlines of requests that are read after it must still be kept.
         """
         next_tick_us = now_us() + LINK_TICK_INTERVAL_US
         while not self.is_stopped:
@@ -163,7 +163,7 @@
             self.mailbox.wait(TIMER_INTERVAL_S)
 
     def close(self) -> None:
-        """End the core's thread and drain its links; requests in flight are not answered."""
+        """Stop the core's thread and drain its links; requests in flight are not answered."""
         self.is_stopped = True
         self.mailbox.wake_event.set()
         self.member_links.close()
@@ -171,9 +171,10 @@
     # The turn
 
     def run_turn(self, batch: list[Message]) -> None:
-        """Handle messages and due timers, and perform what the router decides on them.
+        """Handle messages and due timers, and perform the router's actions.
 
-        Changes of the member table go first: an attempt counts as decided with all that the turn knows.
+        Member table changes are applied first: attempts decided in this turn are stamped with all updates
+        that the turn contains.
         """
         self.state.now_us = now_us()
         events: list[Event] = []
@@ -199,7 +200,7 @@
             callback()
 
     def _handle(self, message: Message, events: list[Event]) -> None:
-        """Handle one message that is no change of the member table."""
+        """Handle one message other than a change of the member table."""
         if isinstance(message, ClientRequest):
             event = self.intake.accept(message)
             if event is not None:
@@ -225,7 +226,7 @@
             self.requests.forget_if_finished(entry)
 
     def _on_change(self, change: TableChange, events: list[Event]) -> None:
-        """Take over a change of the member list, or a purge."""
+        """Apply a change of the member list, or a purge."""
         state = self.state
         state.purges_known = max(state.purges_known, change.purge_number)
         state.updates_known = max(state.updates_known, change.update_count)
@@ -238,25 +239,25 @@
         self.results.handle_deferred(events)
 
     def _class_indexes_in_use(self) -> set[int]:
-        """Return the classes of requests in flight and of those that wait in the mailbox."""
+        """Return the class indexes of requests in flight or queued in the mailbox."""
         used = {entry.request.class_index for entry in self.requests.by_number.values()}
         waiting = list(self.mailbox.messages)
         return used | {message.class_index for message in waiting if isinstance(message, ClientRequest)}
 
     def _fail_open_requests(self, events: list[Event]) -> None:
-        """Fail every request that is unanswered; the router gives up their attempts.
+        """Fail every unanswered request; the router abandons their attempts.
 
-        Guards against a request that is read after this: if it were forwarded, it would be lost with the
+        Closes the intake as well: a request that is read after this and forwarded would be lost with the
         process.
         """
         self.intake.is_closed = True
         for number, entry in list(self.requests.by_number.items()):
             if not entry.is_answered:
-                self.responder.finish_unserved(entry, "the process ends")
+                self.responder.finish_unserved(entry, "the process is shutting down")
                 events.append(ClientDisconnected(number))
 
     def fire_due_timers(self, events: list[Event]) -> None:
-        """Queue the router's timers that are due, and end requests whose deadline has passed."""
+        """Queue events for the router's due timers, and end requests whose deadline has passed."""
         while (timer := self.timers.pop_due(self.state.now_us)) is not None:
             if timer.kind is TimerKind.ROUTER:
                 events.append(TimerFired(timer.token))
@@ -268,10 +269,10 @@
         if entry is None:
             return
         if not entry.is_answered and not entry.open_attempts:
-            # Guards against a request that the router keeps waiting: its answer is due now.
-            self.responder.finish_unserved(entry, "held until its time was up")
+            # The router still keeps the request waiting, but its answer is due now.
+            self.responder.finish_unserved(entry, "deadline passed while it waited")
             events.append(ClientDisconnected(number))
-        # Also of an answered request: an attempt that can't be cancelled and never ends would stay forever.
+        # Answered requests too: an attempt that can't be cancelled and never ends would stay open forever.
         for attempt in list(entry.open_attempts.values()):
             self.results.abandon(entry, attempt, AttemptStatus.DEADLINE_EXCEEDED, events)
 
--- a/lupintack/core/attempt_dispatch.py
+++ b/lupintack/core/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Starts of attempts: from the router's decision to the link of the chosen member."""
+"""Starts attempts: passes the router's decisions to the links of the chosen members."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         request_log: RequestLog,
         defer_event: Callable[[Event], None],
     ) -> None:
-        """Take `defer_event`, which hands an event to the next turn."""
+        """`defer_event` queues an event for the next turn."""
         self._state = state
         self._requests = requests
         self._links = links
@@ -44,7 +44,7 @@
         self._defer_event = defer_event
 
     def start(self, action: Fetch) -> None:
-        """Send one attempt to its member; where that is too late, the router learns it in the next turn."""
+        """Send one attempt to its member; if it is too late, report its end in the router's next turn."""
         entry = self._requests.get(action.request)
         if entry is None:
             LOG.error("attempt for an unknown request", extra=fields(request=action.request))
@@ -70,9 +70,10 @@
         self._send(entry, attempt, endpoint, endpoint.dial)
 
     def cancel(self, number: int, attempt_number: int) -> None:
-        """Tell a member that an attempt is no longer needed.
+        """Cancel an attempt at its member.
 
-        The attempt stays open until the member has been notified: no other may be out beside it until then.
+        The attempt stays open until the member has been notified: until then no other attempt may run
+        concurrently with it.
         """
         entry = self._requests.get(number)
         attempt = entry.open_attempts.get(attempt_number) if entry is not None else None
@@ -99,7 +100,7 @@
         )
 
     def _limit_to_deduplication_window(self, entry: RequestInFlight, attempt: Attempt) -> None:
-        """Bound an attempt under an idempotency key by the window of the key's first attempt."""
+        """Limit a keyed attempt to the deduplication window of its key's first attempt, and record it."""
         request = entry.request
         service_class = self._state.settings.classes[request.class_index]
         if service_class.idempotency is not Idempotency.KEYED:
@@ -115,7 +116,7 @@
     def _limit_to_lease(
         self, leases: Leases, action: Fetch, entry: RequestInFlight, attempt: Attempt
     ) -> None:
-        """Bound an attempt that spends a lease by the lease's end, also where it waits for a connection."""
+        """Forbid writing an attempt that spends a lease after the lease's end, however long it is queued."""
         state = self._state
         service_class = state.settings.classes[entry.request.class_index]
         is_write = entry.request.is_write or service_class.is_write
--- a/lupintack/core/attempt_results.py
+++ b/lupintack/core/attempt_results.py
@@ -1,4 +1,4 @@
-"""Ends of attempts: the first good answer is the client's, and the router receives each end as an event."""
+"""Handles results of attempts: the client gets the first good answer, the router an event for each end."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FetchedAnswer(NamedTuple):
-    """What an attempt of this turn has brought; the router may have it stored in the local cache."""
+    """An answer received in this turn, which the router may store in the local cache."""
 
     request: ClientRequest
     answer: Answer
@@ -30,23 +30,23 @@
         responder: Responder,
         idempotency_cache: IdempotencyCache,
     ) -> None:
-        """Begin without deferred results."""
+        """Start without deferred results."""
         self._state = state
         self._requests = requests
         self._responder = responder
         self._idempotency_cache = idempotency_cache
         self._fetched_answers: dict[int, FetchedAnswer] = {}
-        self.deferred_results: list[AttemptResult] = []  # they wait for an update of the member table
+        self.deferred_results: list[AttemptResult] = []  # until the member table is updated
 
     def on_result(self, result: AttemptResult, events: list[Event]) -> None:
         """Close an attempt, and serve its answer where it is the request's first good one."""
         attempt, status = result.attempt, result.status
         entry = self._requests.get(attempt.request.number)
         if entry is None or attempt.number not in entry.open_attempts:
-            return  # abandoned before: its event was sent then
+            return  # already abandoned, with its event
         if status is AttemptStatus.OUTDATED and not entry.is_answered and self._awaits_update():
-            # Guards against a router that chooses the same member again until its attempts are spent: the
-            # write knows of updates at once, the router when its turn brings them.
+            # Otherwise the router would choose the same member until its attempts are used up: a write sees
+            # the table's updates immediately, the router only in a later turn.
             self.deferred_results.append(result)
             return
         del entry.open_attempts[attempt.number]
@@ -63,7 +63,7 @@
         self._requests.forget_if_finished(entry)
 
     def handle_deferred(self, events: list[Event]) -> None:
-        """Handle the results that waited for an update of the member table."""
+        """Handle the results that were deferred until an update of the member table."""
         deferred_results, self.deferred_results = self.deferred_results, []
         for result in deferred_results:
             self.on_result(result, events)
@@ -82,7 +82,7 @@
     def to_event(
         self, entry: RequestInFlight, attempt: Attempt, status: AttemptStatus, answer: Answer | None
     ) -> AttemptEnded:
-        """Build the router's event for the end of an attempt, and note where it had no effect."""
+        """Build the router's event for an attempt's end; record that a keyed attempt had no effect."""
         request = attempt.request
         elapsed_ms = (self._state.now_us - attempt.decided_us) / 1000.0
         outcome = status.outcome
@@ -107,18 +107,18 @@
         )
 
     def store_fetched(self, number: int) -> None:
-        """Store what this turn has fetched for a request in the local cache."""
+        """Store the answer that this turn has fetched for a request in the local cache."""
         fetched = self._fetched_answers.get(number)
         if fetched is not None and self._state.local_cache is not None:
             self._state.local_cache.store(fetched.request, fetched.answer)
 
     def forget_fetched(self) -> None:
-        """Drop this turn's answers, at its end."""
+        """Drop this turn's fetched answers; called at its end."""
         self._fetched_answers.clear()
 
     def _serve(self, entry: RequestInFlight, attempt: Attempt, status: AttemptStatus, answer: Answer) -> None:
         self._responder.serve(entry, answer, status is AttemptStatus.NOT_MODIFIED)
-        # An answer may be older than a purge that came after the attempt was decided, whatever its stamp.
+        # The answer may predate a purge received since the attempt was decided, whatever its timestamp.
         if (
             status is AttemptStatus.SERVED
             and self._state.local_cache is not None
@@ -127,6 +127,6 @@
             self._fetched_answers[attempt.request.number] = FetchedAnswer(attempt.request, answer)
 
     def _awaits_update(self) -> bool:
-        """Return whether the member table knows, or is about to know, more than the router."""
+        """Return whether the member table has, or is about to have, updates that the router lacks."""
         table = self._state.member_table
         return table.await_source() or self._state.updates_known < table.update_count
--- a/lupintack/core/attempt_status.py
+++ b/lupintack/core/attempt_status.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt, or the connection under it, can end, and the router's outcome for each."""
+"""The ways in which an attempt or its connection can end, and the router's outcome for each."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     MISS = auto()  # the member has no copy
     REJECTED = auto()  # the member is at capacity
     ERROR = auto()  # the member's error
-    EXPIRED = auto()  # the member found the deadline passed when it came
+    EXPIRED = auto()  # the deadline had passed when the attempt reached the member
     DEADLINE_EXCEEDED = auto()  # no answer in time
     CANCELLED = auto()  # cancelled at the member, or the request was answered
     OUTDATED = auto()  # not written: a list change or a purge since the decision forbids it
@@ -45,11 +45,11 @@
     AttemptStatus.OUTDATED: Outcome.DISCARDED,
     AttemptStatus.NOT_NEEDED: Outcome.DISCARDED,
     AttemptStatus.NOT_WRITTEN: Outcome.DISCARDED,
-    # A connection that never came up proves that nothing ran.
+    # Without a connection, nothing can have run.
     AttemptStatus.CONNECT_REFUSED: Outcome.CONNECT_FAILED,
     AttemptStatus.CONNECT_TIMED_OUT: Outcome.CONNECT_FAILED,
     AttemptStatus.CONNECT_FAILED: Outcome.CONNECT_FAILED,
-    # Once a byte was written, the attempt may have run.
+    # After the first written byte, the attempt may have run.
     AttemptStatus.CLOSED: Outcome.RESET,
     AttemptStatus.RESET: Outcome.RESET,
     AttemptStatus.BAD_FRAME: Outcome.RESET,
--- a/lupintack/core/ban_keeper.py
+++ b/lupintack/core/ban_keeper.py
@@ -1,7 +1,7 @@
-"""The operators' bans of one router: in force in the member table, and saved in its folder.
+"""The operators' bans of one router: applied to the member table, and saved in the router's folder.
 
-A change is put into force first and saved after; one that could not be saved is tried again, over whatever
-the folder holds by then. Not thread-safe: calls come under the lock of the admin service.
+A change is applied first and saved afterwards; a failed save is retried on top of the folder's content at
+that time. Not thread-safe: the admin service calls it under its own lock.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from lupintack.clock import now_us, unix_now_ms
 from lupintack.core.member_table import MemberTable
-from lupintack.lifecycle import bans as state_of_bans
+from lupintack.lifecycle import bans as bans_module
 from lupintack.lifecycle.bans import Bans
 from lupintack.lifecycle.folder import LOCK_TIMEOUT_S, Folder, folder_path, read_ban_files
 from lupintack.logs import LineLimit, fields
 
 LOG = logging.getLogger("bans")
 BanChange = Callable[[Bans, str, float], bool]
-MAX_LINES_PER_S = 2  # in the log, on a folder that can't be used
+MAX_LINES_PER_S = 2  # log lines about an unusable folder
 RETRY_INTERVAL_S = 0.5
 
 
 class FolderLocation(NamedTuple):
-    """What identifies the folder of a router."""
+    """The parameters that identify a router's folder."""
 
     base: str
     name: str
@@ -32,19 +32,19 @@
 
 
 class UnsavedChange(NamedTuple):
-    """The last change to one member's ban, in force here and not in the folder yet."""
+    """The last change to one member's ban, applied in this process and not saved yet."""
 
     change: BanChange
     at_ms: float  # Unix time
 
 
 class BanKeeper:
-    """Puts bans into force and saves them in the folder shared with the router's other processes."""
+    """Applies bans and saves them in the folder shared with the router's other processes."""
 
     def __init__(self, member_table: MemberTable) -> None:
-        """Begin without a folder; `join` opens it."""
+        """Start without a folder; `join` opens it."""
         self.member_table = member_table
-        self.location: FolderLocation | None = None  # also where it can't be used now
+        self.location: FolderLocation | None = None  # also set while the folder can't be used
         self.folder: Folder | None = None
         self.folder_error_limit = LineLimit(MAX_LINES_PER_S)
         self.unreadable_limit = LineLimit(MAX_LINES_PER_S)
@@ -53,11 +53,11 @@
         self.last_attempt_us = 0
 
     def change(self, name: str, change: BanChange) -> str:
-        """Put a change of a member's ban into force and save it; return why it could not be saved, or ""."""
+        """Apply and save a change of a member's ban; return the error if saving failed, or ""."""
         now_ms = unix_now_ms()
         bans = copy_of(self.member_table.bans)
         change(bans, name, now_ms)
-        self.member_table.set_bans(bans)  # first: it binds whatever the disk does
+        self.member_table.set_bans(bans)  # before saving: it must apply even if the disk fails
         if self.location is None:
             return ""
         self.unsaved_changes[name] = UnsavedChange(change, now_ms)
@@ -66,7 +66,7 @@
         return self.save(self.folder, LOCK_TIMEOUT_S)
 
     def save(self, folder: Folder, timeout_s: float) -> str:
-        """Save the unsaved changes over what the folder holds; return why that failed, or ""."""
+        """Save the unsaved changes on top of the folder's bans; return the error if that failed, or ""."""
         self.last_attempt_us = now_us()
         try:
             with folder.locked(timeout_s):
@@ -82,14 +82,14 @@
     def with_unsaved_changes(self, bans: Bans) -> Bans:
         """Apply the unsaved changes to bans that were loaded, and return them.
 
-        Guards against a ban that is in force here alone being lifted by the next one that can be saved.
+        Otherwise a ban that is applied in this process alone would be lifted by the next successful save.
         """
         for name, unsaved in self.unsaved_changes.items():
             unsaved.change(bans, name, unsaved.at_ms)
         return bans
 
     def load(self) -> Bans | None:
-        """Return the bans in the folder; None, with a log line, where it holds none that are valid."""
+        """Return the bans saved in the folder; log an error and return None if none are valid."""
         if self.folder is None:
             return None
         try:
@@ -100,18 +100,18 @@
             return None
 
     def first_valid(self, texts: list[bytes]) -> Bans | None:
-        """Parse the first valid one of the saved states: a crash may have cut one of them short."""
+        """Return the first saved state that is valid, or None: a crash may have truncated one of them."""
         for number, text in enumerate(texts):
             try:
-                return state_of_bans.parse(text)
-            except state_of_bans.BansError as error:
+                return bans_module.parse(text)
+            except bans_module.BansError as error:
                 LOG.error("saved bans invalid", extra=fields(copy=number, reason=error))
         return None
 
     def join(self, phase: str) -> bool:
-        """Join the processes of this router in a phase, and take over its bans; return whether both worked.
+        """Register this process in the folder with its phase and load the bans; return whether both worked.
 
-        The location must be set.
+        Raises ValueError if the location is not set.
         """
         location = self.location
         if location is None:
@@ -141,7 +141,7 @@
         return self.folder is not None
 
     def refresh(self, phase: str) -> None:
-        """Take over what another process has saved, and retry what could not be saved here."""
+        """Load bans that another process has saved, and retry failed saves."""
         if (
             self.folder is None
             and self.location is not None
@@ -163,7 +163,7 @@
             LOG.info("bans taken over", extra=fields(excluded=",".join(sorted(saved.excluded))))
 
     def close(self) -> None:
-        """Leave the folder; the bans stay in it."""
+        """Close the folder; the saved bans stay in it."""
         self.location = None
         folder, self.folder = self.folder, None
         if folder is not None:
@@ -171,5 +171,5 @@
 
 
 def copy_of(bans: Bans) -> Bans:
-    """Return a copy that may be changed: the member table's own bans never are."""
+    """Return a copy that may be modified: the member table's own bans never are."""
     return Bans(dict(bans.excluded), dict(bans.included))
--- a/lupintack/core/client_liveness.py
+++ b/lupintack/core/client_liveness.py
@@ -1,7 +1,7 @@
-"""Whether the other side of a TCP connection is still there, as the kernel knows it.
+"""Checks by the kernel's TCP state whether the peer of a connection has closed it.
 
-A read shows the end of a stream only behind all bytes before it, and not at all once reading was shut down
-here. The state of the connection shows it at once, whatever is unread.
+A read returns the end of the stream only after all bytes before it, and never once reading was shut down
+locally. The TCP state shows it immediately, whatever is unread.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 # Linux, include/net/tcp_states.h
 ESTABLISHED, CLOSE = 1, 7
-FIN_WAIT1 = 4  # this side has closed, and that has not been acknowledged
+FIN_WAIT1 = 4  # closed locally, and the FIN is not acknowledged yet
 CLOSED_BY_PEER = frozenset({6, 7, 8, 9, 11})  # TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
 
 
 def tcp_state(sock: socket.socket) -> int:
-    """Return the TCP state; CLOSE for a socket closed here, ESTABLISHED where the kernel gives none."""
+    """Return the TCP state; CLOSE for a locally closed socket, ESTABLISHED if the kernel reports none."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError as error:
@@ -24,10 +24,10 @@
 
 
 def has_closed(sock: socket.socket) -> bool:
-    """Return whether the other side has closed, shut down its writing, or reset the connection."""
+    """Return whether the peer has closed the connection, shut down its writing side, or reset it."""
     return tcp_state(sock) in CLOSED_BY_PEER
 
 
 def has_undelivered_data(sock: socket.socket) -> bool:
-    """Return whether the end of this side's stream, or bytes before it, is not acknowledged yet."""
+    """Return whether the peer has yet to acknowledge the FIN of a closed stream, or bytes before it."""
     return tcp_state(sock) == FIN_WAIT1
--- a/lupintack/core/core_state.py
+++ b/lupintack/core/core_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the core share; a small module, so that none of them imports the actor."""
+"""State shared by the parts of the core, in its own module so that none of them imports the actor."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterCounts:
-    """The routers that share budgets: in all, by zone, and this one's index among them."""
+    """The number of routers that share budgets, in total and by zone, and this router's index."""
 
     router_count: int
     by_zone: tuple[int, ...]
@@ -23,9 +23,9 @@
 
 @dataclass(slots=True)
 class CoreState:
-    """What the turn's parts share. The core's turn alone writes it; other threads may read it.
+    """State shared by the parts of a turn. Written only in the core's turn; other threads may read it.
 
-    `settings` are those in force: what the files say, with the counts and leases of the fleet laid over them.
+    `settings` are those in force: the configured ones, overlaid with the fleet's counts and leases.
     """
 
     settings: Settings
@@ -36,7 +36,7 @@
     now_us: int  # the turn's clock, monotonic
     counters: Counters = field(default_factory=Counters)
     process_count: int = 1  # processes that share this router's budgets
-    router_counts: RouterCounts | None = None  # None: as the settings say
+    router_counts: RouterCounts | None = None  # None: as configured
     leases: Leases | None = None  # of the fleet's budgets; None: the router divides them by count
     purges_known: int = 0  # number of the last purge that the router has received
-    updates_known: int = 0  # number of the last update of any kind (MemberTable.updates)
+    updates_known: int = 0  # number of the last update of any kind (MemberTable.update_count)
--- a/lupintack/core/counters.py
+++ b/lupintack/core/counters.py
@@ -6,7 +6,7 @@
 
 
 class Counters(Counter[str]):
-    """Counts by name. A count lost between two threads is harmless; a lock on every request is not."""
+    """Counts by name, without a lock: a lost increment is harmless, a lock on every request is not."""
 
     def increment(self, name: str) -> None:
         """Add one to a counter."""
--- a/lupintack/core/handoff.py
+++ b/lupintack/core/handoff.py
@@ -1,7 +1,7 @@
-"""Handoff of an upgrade: what the decisions learned, and own copies, from the old process to the new. No I/O.
+"""Handoff in an upgrade: learned state and local copies, from the old process to the new one. No I/O.
 
-Both processes run on one machine, so the router's times mean the same in both. Each field that is read is
-checked: a handoff that can't be used is as good as none. The keys of its JSON stay from version to version.
+Both processes run on one machine, so the router's times are valid in both. Every field is validated when it
+is read, and an invalid handoff is ignored. The JSON keys must not change between versions.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 
 
 class HandoffError(ValueError):
-    """A record of the handoff can't be used."""
+    """A record of the handoff is invalid."""
 
 
 @dataclass(slots=True)
 class HandoffRequest:
-    """Asks the core for its state; `on_state` is called in the core's turn, and must not block."""
+    """A request for the core's state; `on_state` is called in the core's turn, and must not block."""
 
     on_state: Callable[[HandoffState], None]
 
 
 @dataclass(slots=True)
 class HandoffState:
-    """The state that one turn of the core found."""
+    """A snapshot of the core's state, taken in one turn."""
 
     learned: dict[str, Any]
     copies: list[tuple[tuple[int, int], CachedCopy]]  # the least recently used first
 
     def records(self, max_copy_bytes: int) -> Iterator[bytes]:
-        """Yield the parts of the file in order: the learned state, then the most recent copies that fit."""
+        """Yield the parts of the file in order: the learned state, then the last used copies that fit."""
         yield from encode_record(self.learned)
         size, first = 0, len(self.copies)
         while first and size + len(self.copies[first - 1][1].answer.body) <= max_copy_bytes:
@@ -64,7 +64,7 @@
 
 
 def encode_record(fields: object, body: bytes | bytearray | memoryview = b"") -> Iterator[bytes]:
-    """Yield a record's parts: the header with the fields, then the body, where it has one."""
+    """Yield a record's parts: the header with the fields, then the body if there is one."""
     text = json.dumps(fields).encode()
     yield RECORD_HEADER.pack(len(text), len(body)) + text
     if body:
@@ -72,22 +72,22 @@
 
 
 def capture_state(state: CoreState) -> HandoffState:
-    """Return what the router learned and its own copies; called in the core's turn."""
+    """Return the router's learned state and the local copies; called in the core's turn."""
     copies = list(state.local_cache.copies.items()) if state.local_cache is not None else []
     return HandoffState(learned_record(state.router), copies)
 
 
 def learned_record(router: Router) -> dict[str, Any]:
-    """Return the record of what a router learned, as it is written."""
-    found = learned_state(router)
+    """Return a router's learned state as the JSON record that is written."""
+    learned = learned_state(router)
     return {
         "version": VERSION,
-        "classes": {name: list(means) for name, means in found.classes.items()},
-        "split": found.priority_threshold,
-        "seen": [[object_id, part, at_ms] for (object_id, part), at_ms in found.last_requests],
+        "classes": {name: list(means) for name, means in learned.classes.items()},
+        "split": learned.priority_threshold,
+        "seen": [[object_id, part, at_ms] for (object_id, part), at_ms in learned.last_requests],
         "peers": {
             str(id_): [finite_or_none(value) for value in endpoint]
-            for id_, endpoint in found.endpoints.items()
+            for id_, endpoint in learned.endpoints.items()
         },
     }
 
@@ -98,21 +98,21 @@
 
 
 def restore_record(router: Router, record: Any) -> bool:
-    """Restore a record to a router that has its first list; False where the record can't be used."""
+    """Restore a record to a router that has its first list; return False if the record is invalid."""
     try:
         if record["version"] != VERSION:
             return False
-        found = read_learned_state(record)
+        learned = read_learned_state(record)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
         return False
-    restore(router, found)
+    restore(router, learned)
     return True
 
 
 def read_learned_state(record: Any) -> LearnedState:
-    """Check a record field by field; classes and members of another length than today's are left out.
+    """Validate a record field by field; skip classes and members with another number of values than now.
 
-    Raises KeyError, TypeError, ValueError, AttributeError or OverflowError for a record that can't be used.
+    Raises KeyError, TypeError, ValueError, AttributeError or OverflowError for an invalid record.
     """
     classes = {str(name): [finite_number(x) for x in means] for name, means in record["classes"].items()}
     last_requests = [
@@ -140,20 +140,20 @@
 
 
 def finite_number(value: Any) -> float:
-    """Return the value; HandoffError if it is not a finite number."""
+    """Return the value; raise HandoffError if it is not a finite number."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise HandoffError(f"not a finite number: {value!r:.40}")
     return value
 
 
 def read_records(read_bytes: Callable[[int], bytes]) -> Iterator[tuple[Any, bytes]]:
-    """Yield (fields, body) of each record; HandoffError, or another ValueError of the JSON, for a bad one."""
+    """Yield (fields, body) of each record; raise HandoffError, or ValueError for malformed JSON."""
     while head := read_bytes(RECORD_HEADER.size):
         if len(head) < RECORD_HEADER.size:
             raise HandoffError(f"a record header was cut short after {len(head)} bytes")
         text_length, body_length = RECORD_HEADER.unpack(head)
         if text_length > MAX_JSON_BYTES or body_length > MAX_BODY_BYTES:
-            raise HandoffError(f"a record of {text_length} bytes of JSON and a body of {body_length}")
+            raise HandoffError(f"record too large: {text_length} bytes of JSON, {body_length} of body")
         text, body = read_bytes(text_length), read_bytes(body_length)
         if len(text) < text_length or len(body) < body_length:
             raise HandoffError(f"a record was cut short after {len(text) + len(body)} bytes")
@@ -161,9 +161,9 @@
 
 
 def restore_copy(copies: LocalCache, fields: Any, body: bytes) -> None:
-    """Store one copy; ValueError or TypeError for a record that is none."""
+    """Store one copy; raise ValueError or TypeError if the record is not a valid copy."""
     object_id, part, group, tag, issued_ms = fields
     numbers = (object_id, part, group, issued_ms)
     if not (body and isinstance(tag, str) and all(type(x) is int and x >= 0 for x in numbers)):
-        raise HandoffError(f"not a copy: {fields!r:.80}")
+        raise HandoffError(f"not a valid copy: {fields!r:.80}")
     copies.put((object_id, part), group, Answer(body, tag, issued_ms))
--- a/lupintack/core/leases.py
+++ b/lupintack/core/leases.py
@@ -1,4 +1,4 @@
-"""Leases of shared budgets as settings of the decisions, and the demand that the fleet divides by.
+"""Applies leases of shared budgets to the router's settings, and measures the demand they are divided by.
 
 Everything here runs in the core's turn, without I/O.
 """
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Leases:
-    """This process's shares of budgets, until a time on its own clock; negative: there is no lease."""
+    """This process's shares of budgets, valid until a time on its own clock; negative: no lease."""
 
     warming_cache_share: float = -1.0  # of the budget of each cache in slow start, 0 to 1
     warming_parent_share: float = -1.0
-    max_origin_fills: int = -1  # in flight at once
+    max_origin_fills: int = -1  # concurrent
     valid_until_us: int = 0  # attempts decided under the leases are not sent after it
 
     def apply_to(self, settings: Settings) -> Settings:
-        """Return the settings with these shares in place of divisions by the number of routers."""
+        """Return the settings with these shares, in place of budgets divided by the number of routers."""
         return replace(
             settings,
             warming_cache_share=self.warming_cache_share,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredDemand:
-    """Recent demand, met or not: shares of a slow-start budget, which may pass 1, and fills at the origin."""
+    """Recent demand, granted or not: shares of a slow-start budget (may exceed 1), and origin fills."""
 
     warming_cache_share: float
     warming_parent_share: float
@@ -40,13 +40,13 @@
     origin_fills_in_flight: int = 0
 
 
-def differ_only_in_leases(one: Settings, other: Settings) -> bool:
+def differ_only_in_leases(first: Settings, second: Settings) -> bool:
     """Return whether two settings differ in leases at most, on which no ranking or estimate depends."""
-    return Leases().apply_to(one) == Leases().apply_to(other)
+    return Leases().apply_to(first) == Leases().apply_to(second)
 
 
 def measure_demand(router: Router, now_ms: float) -> MeasuredDemand:
-    """Return the recent demand: the greatest share of any endpoint in slow start, and of origin fills."""
+    """Return the recent demand: the largest share of any endpoint in slow start, and of origin fills."""
     shares = {True: 0.0, False: 0.0}
     origin = router.endpoints.origin
     for endpoint in router.endpoints.by_id.values():
@@ -60,7 +60,7 @@
 
 
 def needs_lease(router: Router, action: Fetch, leases: Leases, is_write: bool) -> bool:
-    """Return whether an attempt was decided under a lease, and so may not be sent once that has expired."""
+    """Return whether an attempt was decided under a lease, and so may not be sent after its expiry."""
     by_id, origin = router.endpoints.by_id, router.endpoints.origin
     for endpoint in (by_id.get(action.member), by_id.get(action.source)):
         if endpoint is None:
--- a/lupintack/core/list_validity.py
+++ b/lupintack/core/list_validity.py
@@ -1,4 +1,4 @@
-"""How long the endpoint list may be used: the last proof that it was current, and when that proof expires."""
+"""Validity of the endpoint list: the last proof that it was current, and when that proof expires."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ListValidity:
-    """The age of the endpoint list. Written by the table's thread but for `set_validity`, read by any."""
+    """The age of the endpoint list. Written by the table's thread except in `set_validity`; read by any."""
 
     def __init__(self) -> None:
-        """The list is current for ever, as without discovery."""
+        """Start with a list that is always current, as without discovery."""
         self.validity_us = FOREVER_US  # how long a proof is valid
         self.proved_us = FOREVER_US  # as of when the list was last proved current; 0: never
         self.valid_until_us = FOREVER_US  # checked at each write
         self.is_current = True  # the core has been notified that it is
-        self.confirmed = threading.Event()  # set once a proof is in force, and while it lasts
+        self.confirmed = threading.Event()  # set while a proof is in force
         self.confirmed.set()
 
     def require_proof(self, validity_us: int) -> None:
@@ -27,7 +27,7 @@
         self.confirmed.clear()
 
     def set_validity(self, validity_us: int, now_us: int) -> None:
-        """Set how long a proof is valid by new settings; FOREVER_US where discovery is no longer followed."""
+        """Set how long a proof is valid, by new settings; FOREVER_US if discovery is no longer used."""
         if self.validity_us == FOREVER_US and validity_us != FOREVER_US:
             self.proved_us = now_us  # a list that was current without a proof counts as proved now
         self.validity_us = validity_us
@@ -37,7 +37,7 @@
             self.valid_until_us = self.proved_us + validity_us
 
     def confirm(self, proved_us: int, now_us: int) -> bool:
-        """Record a proof as of `proved_us`; return whether the list becomes current by it."""
+        """Record a proof as of `proved_us`; return whether it makes the list current."""
         if proved_us <= self.proved_us:
             return False
         self.proved_us = proved_us
@@ -48,7 +48,7 @@
         return True
 
     def expire(self, now_us: int) -> bool:
-        """Return whether the list ceases to be current now."""
+        """Mark the list as no longer current if its proof has expired; return whether that was done."""
         if not self.is_current or not self.has_expired(now_us):
             return False
         self.is_current = False
@@ -60,11 +60,11 @@
         return now_us >= self.valid_until_us
 
     def wait_s(self, now_us: int) -> float | None:
-        """Return how long the list stays valid, in seconds; None: until an update comes."""
+        """Return how long the list stays valid, in seconds; None: until the next update."""
         if not self.is_current or self.valid_until_us >= FOREVER_US:
             return None
         return max(0.0, (self.valid_until_us - now_us) / 1e6)
 
     def proof_age_ms(self, now_us: int) -> int:
-        """Return how long ago the list was certainly current; NEVER_PROVED_MS where it never was."""
+        """Return the age of the last proof that the list was current; NEVER_PROVED_MS without one."""
         return (now_us - self.proved_us) // 1000 if self.proved_us else NEVER_PROVED_MS
--- a/lupintack/core/local_cache.py
+++ b/lupintack/core/local_cache.py
@@ -1,7 +1,7 @@
-"""The router's local cache, and the link that its bytes leave by.
+"""The router's local cache, and the outgoing link that its copies are sent over.
 
-The decision module chooses what is cached and when a copy is served. This module holds the bounds: memory,
-purges, and the rate of the link, on which transfers follow one another in the order of their answers.
+The decision module chooses what is cached and when a copy is served. This module enforces the limits:
+memory, purges, and the rate of the link, on which transfers follow one another in the order of their answers.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from lupintack.core.messages import Answer, ClientRequest
 from lupintack.core.timestamps import CopyClock
 
-MEMORY_SHARE = 0.15  # of the memory beside the process's own; overhead of the bodies doubles it
+MEMORY_SHARE = 0.15  # of the memory that the process leaves free; the bodies' overhead doubles it
 PROCESS_MB = 24
-COPY_OVERHEAD_BYTES = 600  # beside its body
-NOT_MODIFIED_SIZE_DIVISOR = 20  # a not-modified answer costs this part of the body's bytes
+COPY_OVERHEAD_BYTES = 600  # in addition to the body
+NOT_MODIFIED_SIZE_DIVISOR = 20  # a not-modified answer counts as the body's size divided by this
 MAX_PURGES = 4096
 MAX_PROOF_AGE_US = 1_900_000  # with an older proof of the list, a purge may have been missed
 
@@ -34,7 +34,7 @@
 
 
 class Transfer(NamedTuple):
-    """A copy that goes out; `not_modified`: the client's own copy is the same."""
+    """A copy to be sent; `not_modified`: the client already has the same copy."""
 
     answer: Answer
     not_modified: bool
@@ -49,7 +49,7 @@
     """Copies by object id and part, the least recently used first. Used by the core's turn alone."""
 
     def __init__(self, max_bytes: int, link_bytes_per_s: float, clock: CopyClock | None = None) -> None:
-        """Begin empty; `clock` judges the timestamps of copies."""
+        """Start empty; `clock` estimates the age of copies by their timestamps."""
         self.max_bytes = max_bytes
         self.link_bytes_per_s = link_bytes_per_s
         self.copies: OrderedDict[tuple[int, int], CachedCopy] = OrderedDict()
@@ -59,7 +59,7 @@
         self.clock = clock or CopyClock(UNIX_OFFSET_US)
 
     def age_ms(self, request: ClientRequest) -> float:
-        """Return the age of the copy for a request, NO_COPY_MS where there is none."""
+        """Return the age of the copy for a request, NO_COPY_MS if there is none."""
         copy = self.copies.get((request.object_id, request.part))
         if copy is None or request.is_write:
             return NO_COPY_MS
@@ -70,7 +70,7 @@
         return max(0, self.link_free_us - now_us) / 1000.0
 
     def start_transfer(self, request: ClientRequest, now_us: int) -> Transfer | None:
-        """Reserve the link for the copy of a request; return None where there is none any more."""
+        """Reserve the link for the copy of a request; return None if it is gone."""
         copy = self.copies.get((request.object_id, request.part))
         if copy is None:
             return None
@@ -85,7 +85,7 @@
         self.put((request.object_id, request.part), request.group, answer)
 
     def put(self, key: tuple[int, int], group: int, answer: Answer) -> None:
-        """Cache a copy, unless a purge has overtaken it; evict the least recently used ones for it."""
+        """Cache a copy unless it predates a purge; evict the least recently used ones to make room."""
         size = len(answer.body) + COPY_OVERHEAD_BYTES
         purge = max(
             self.purged_unix_ms.get((True, key[0]), 0.0), self.purged_unix_ms.get((False, group), 0.0)
@@ -101,13 +101,13 @@
             self.remove(next(iter(self.copies)))
 
     def set_max_bytes(self, max_bytes: int) -> None:
-        """Change the capacity; evict what is over it, the least recently used first."""
+        """Change the capacity; evict the least recently used copies that exceed it."""
         self.max_bytes = max_bytes
         while self.used_bytes > self.max_bytes and self.copies:
             self.remove(next(iter(self.copies)))
 
     def remove(self, key: tuple[int, int]) -> None:
-        """Remove the copy of an object's part, where there is one."""
+        """Remove the copy of an object's part, if there is one."""
         copy = self.copies.pop(key, None)
         if copy is not None:
             self.used_bytes -= len(copy.answer.body) + COPY_OVERHEAD_BYTES
@@ -115,8 +115,8 @@
     def purge(self, object_id: int | None, group: int, unix_ms: float | None) -> None:
         """Remove the copies of an object, or of a group where `object_id` is None, whatever their age.
 
-        Answers that are on their way are cached if they are younger. `unix_ms`: the time of the purge by the
-        clock of its sender; None: unknown.
+        Answers that arrive later are cached if they were issued after the purge. `unix_ms`: the time of the
+        purge by its sender's clock; None: unknown.
         """
         key = (object_id is not None, group if object_id is None else object_id)
         if unix_ms is not None:
@@ -127,6 +127,6 @@
             self.used_bytes = 0
             return
         for copy_key, copy in list(self.copies.items()):
-            is_named = copy.group == group if object_id is None else copy_key[0] == object_id
-            if is_named:
+            is_concerned = copy.group == group if object_id is None else copy_key[0] == object_id
+            if is_concerned:
                 self.remove(copy_key)
--- a/lupintack/core/mailbox.py
+++ b/lupintack/core/mailbox.py
@@ -1,7 +1,7 @@
-"""The core's mailbox: any thread posts a message, and one thread at a time runs the turns.
+"""The core's mailbox: any thread may post a message, and one thread at a time runs the turns.
 
-A turn runs on whichever thread has just posted, if no other is running one: on one core, handing over to a
-thread of the actor's own costs two context switches a message (docs/design.md has the figures).
+A turn runs on the thread that has just posted, unless another thread is running one: on a single core,
+handing messages to a dedicated thread costs two context switches per message (figures in docs/design.md).
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from lupintack.interface import Event
 
 LOG = logging.getLogger("core")
-MAX_MESSAGES_PER_TURN = 64  # the turn's clock must not grow old under a flood
-MAX_BATCHES_PER_ENQUEUE = 4  # a posting thread returns to its own work after so many turns
+MAX_MESSAGES_PER_TURN = 64  # bounds the age of the turn's clock reading under load
+MAX_BATCHES_PER_ENQUEUE = 4  # turns after which a posting thread returns to its own work
 UNLIMITED_BATCHES = -1
 
 Message = (
@@ -41,15 +41,15 @@
 
 
 class Mailbox:
-    """Messages that wait for the core's turn, and events that the next turn begins with."""
+    """Messages queued for the core's turns, and events deferred to the next turn."""
 
     def __init__(self, run_turn: Callable[[list[Message]], None]) -> None:
-        """Take `run_turn`, which handles one batch of messages."""
+        """`run_turn` handles one batch of messages."""
         self._run_turn = run_turn
         self.messages: deque[Message] = deque()
         self.deferred_events: list[Event] = []
         self.turn_lock = threading.Lock()
-        self.wake_event = threading.Event()  # set where a posting thread leaves turns to the core's thread
+        self.wake_event = threading.Event()  # set when a posting thread leaves turns to the core's thread
 
     def enqueue(self, message: Message) -> None:
         """Add a message, and run turns unless another thread runs one and will see the message."""
@@ -57,16 +57,16 @@
         self.run_pending(MAX_BATCHES_PER_ENQUEUE)
 
     def take_deferred_events(self) -> list[Event]:
-        """Return and clear the events that the turn begins with. Called inside the turn."""
+        """Return and clear the deferred events. Called within the turn."""
         events, self.deferred_events = self.deferred_events, []
         return events
 
     def run_pending(self, max_batches: int = UNLIMITED_BATCHES) -> None:
-        """Run turns until nothing waits, or `max_batches` are handled.
+        """Run turns until nothing is queued, or `max_batches` are handled.
 
-        The check after the release keeps a message from being left in the queue. The bound guards against a
-        posting thread that is kept for as long as others post: under load its connection would not be read
-        for seconds. The core's own thread goes on in its place.
+        The queue is checked again after each release of the lock, so that no message is left in it. The bound
+        keeps a posting thread from running turns for as long as others post: under load its connection would
+        not be read for seconds. The core's own thread continues in its place.
         """
         while (self.messages or self.deferred_events) and self.turn_lock.acquire(blocking=False):
             if max_batches == 0:
@@ -76,7 +76,7 @@
             max_batches -= 1
             try:
                 self._run_turn(self._next_batch())
-            except Exception:  # not the posting thread's fault; the deadlines' timers answer the requests
+            except Exception:  # must not end the posting thread; the requests are answered at their deadlines
                 LOG.exception("turn failed")
             finally:
                 self.turn_lock.release()
@@ -90,7 +90,7 @@
                 self.turn_lock.release()
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until a posting thread leaves turns to the caller, or the time is up."""
+        """Wait until a posting thread leaves turns to the caller, for `timeout_s` at most."""
         if self.wake_event.wait(timeout_s):
             self.wake_event.clear()
 
--- a/lupintack/core/member_links.py
+++ b/lupintack/core/member_links.py
@@ -1,4 +1,4 @@
-"""The members' endpoints and the links to them, as the core's turn uses them."""
+"""The members' endpoints and the links to them, used by the core's turn."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class MemberLinks:
-    """Opens one link to each member at its first attempt, and drains links of members that go or move."""
+    """Opens a link to each member at its first attempt; drains it if the member is removed or readdressed."""
 
     def __init__(self, connect: Connect) -> None:
-        """Take `connect`, which opens the link to a member."""
+        """`connect` opens the link to a member."""
         self._connect = connect
         self.endpoints: dict[int, Endpoint] = {}
         self.open_links: dict[int, OpenLink] = {}
         self.draining_links: list[MemberLink] = []
 
     def apply_endpoint(self, member: int, endpoint: Endpoint) -> None:
-        """Take over a member's endpoint, or its removal; a link to another address is drained."""
+        """Record a member's endpoint or its removal; drain a link to its former address."""
         self.endpoints[member] = endpoint
         if endpoint.state is MemberState.REMOVED:
-            del self.endpoints[member]  # replaced caches come under new ids, day after day
+            del self.endpoints[member]  # the table would grow: replaced caches get new ids
         open_link = self.open_links.get(member)
         if open_link is not None and (
             endpoint.state is MemberState.REMOVED or endpoint.dial != open_link.address
@@ -43,27 +43,27 @@
             self.draining_links.append(open_link.link)
 
     def apply_endpoints(self, endpoints: Iterable[tuple[int, Endpoint]]) -> None:
-        """Take over changed endpoints in their order."""
+        """Record changed endpoints in their order."""
         for member, endpoint in endpoints:
             self.apply_endpoint(member, endpoint)
 
     def name(self, member: int) -> str:
-        """Return a member's name, "" where it is not listed."""
+        """Return a member's name, or "" if it is not listed."""
         endpoint = self.endpoints.get(member)
         return endpoint.name if endpoint is not None else ""
 
     def link_to(self, member: int, endpoint: Endpoint, address: tuple[str, int]) -> MemberLink:
-        """Return the link to a member, opened where there is none."""
+        """Return the link to a member; open it if there is none."""
         open_link = self.open_links.get(member)
         if open_link is None:
             open_link = self.open_links[member] = OpenLink(address, self._connect(member, endpoint))
         return open_link.link
 
     def tick(self) -> None:
-        """Let each link look after idle and silent connections. Called by the core's own thread."""
+        """Run each link's check of idle and silent connections. Called by the core's own thread."""
         for open_link in list(self.open_links.values()):
             open_link.link.tick()
-        # Guards against connections of a member that is gone being kept open for good.
+        # Otherwise connections to removed members would stay open forever.
         self.draining_links = [link for link in self.draining_links if not link.is_idle()]
         for link in self.draining_links:
             link.tick()
--- a/lupintack/core/member_table.py
+++ b/lupintack/core/member_table.py
@@ -1,7 +1,7 @@
 """The member table: which members may receive attempts and what was purged, from all sources of updates.
 
-A source (discovery, CDNI purges) calls `update_list` and `purge`. Peers read the table at the moment of a
-write, and each change is passed to the core. Nothing here waits for the core.
+A source (discovery, CDNI purges) calls `update_list` and `purge`. Peers check the table immediately before
+each write, and each change is passed to the core. Nothing here waits for the core.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from lupintack.logs import LineLimit, fields
 
 LOG = logging.getLogger("member_table")
-MAX_LOG_LINES_PER_S = 40  # about members that have changed
+MAX_LOG_LINES_PER_S = 40  # about changed members
 
 
 class MemberTable:
@@ -47,21 +47,21 @@
         """`settle_ms`: how long purges matter; `origin_kind`: the kind of member that needs no valid list."""
         self.mailbox: SimpleQueue[Update | None] = SimpleQueue()
         self.origin_kind = origin_kind
-        self.listed_endpoints: dict[int, Endpoint] = {}  # as the list has them
-        self.usable_endpoints: dict[int, Endpoint] = {}  # the same under bans and the validity of the list
+        self.listed_endpoints: dict[int, Endpoint] = {}  # as the list describes them
+        self.usable_endpoints: dict[int, Endpoint] = {}  # the same with bans and the list's validity applied
         self.bans = Bans()  # replaced, never changed
-        self.banned: frozenset[int] = frozenset()  # checked at each write as soon as it is set
+        self.banned: frozenset[int] = frozenset()  # takes effect on writes as soon as it is set
         self.returned_us: dict[str, int] = {}  # when this process saw that a member's ban was lifted
         self.purge_memory = PurgeMemory(settle_ms)
         self.validity = ListValidity()
-        self.update_count = 0  # incremented before the tables change, and part of each change
+        self.update_count = 0  # incremented before the tables change, and sent with each change
         self.count_lock = threading.Lock()
-        self.notified_us = now_us()  # when a source last showed that it is alive
+        self.notified_us = now_us()  # when a source was last known to be alive
         self.clock = LogClock(UNIX_OFFSET_US)
         self.log_limit = LineLimit(MAX_LOG_LINES_PER_S)
         self.notify: Callable[[TableChange], None] = lambda change: None
-        self.source_reads = SourceReads()  # that are not in the table yet
-        self.is_awaited = False  # the core holds attempts back until a source is read
+        self.source_reads = SourceReads()  # reads whose updates are not in the table yet
+        self.is_awaited = False  # the core defers attempts until a source has been read
         self.has_unread: Callable[[], bool] = lambda: False  # called by any thread; must not block
 
     # Called by sources of updates and by the node
@@ -73,15 +73,15 @@
     def require_proof(self, validity_us: int) -> None:
         """Treat the list as of unknown age until it is confirmed; a proof is valid for `validity_us`.
 
-        Called before anything is listed. Members may have drained unnoticed before a start or in a long
+        Called before any member is listed. Members may have drained unnoticed before a start or during a long
         silence, so until then only the origin is used, which is never taken out of service.
         """
         self.validity.require_proof(validity_us)
 
     def set_validity(self, validity_us: int) -> None:
-        """Set how long a proof is valid, by new settings; FOREVER_US where discovery is not followed."""
+        """Set how long a proof is valid, by new settings; FOREVER_US if discovery is not used."""
         self.validity.set_validity(validity_us, now_us())
-        self.mailbox.put(ListExpiryCheck())  # the table's thread waits by the old limit
+        self.mailbox.put(ListExpiryCheck())  # wakes the table's thread, which waits by the old limit
 
     def update_list(
         self, is_complete: bool, endpoints: tuple[Endpoint, ...], version: int = 0, revision: int = 0
@@ -90,7 +90,7 @@
         self.mailbox.put(ListUpdate(is_complete, endpoints, version, revision))
 
     def observe_timestamps(self, unix_ms: Iterable[float]) -> None:
-        """Observe timestamps of the log's clock before any of it is applied and the thread runs."""
+        """Observe timestamps of the log's clock before the log is applied and the table's thread runs."""
         now = now_us()
         for timestamp in unix_ms:
             self.observe_timestamp(timestamp, now)
@@ -100,22 +100,22 @@
         self.mailbox.put(ListConfirmed(proved_us))
 
     def begin_read(self, arrived_us: int) -> SourceReadId:
-        """Note that a source begins to read bytes that arrived at `arrived_us` at the earliest."""
+        """Record that a source begins to read bytes that arrived at `arrived_us` at the earliest."""
         return self.source_reads.begin(arrived_us)
 
     def end_read(self, read: SourceReadId) -> None:
-        """Queue the end of a read, behind all that it brought."""
+        """Queue the end of a read, after all updates that it contained."""
         self.mailbox.put(SourceRead(read))
 
     def release_held_back(self) -> None:
-        """Queue a change for the core where anything waits for a source, as its connection has ended."""
+        """Queue a change for the core if attempts wait for a source, as its connection has ended."""
         if self.is_awaited:
             self.mailbox.put(SourceRead(None))
 
     def await_source(self) -> bool:
         """Return whether the table is behind its sources; the core is notified once it no longer is.
 
-        The wish is noted before the look: a read that ends in between would notify nobody.
+        The flag is set before the check: otherwise a read that ends in between would not notify the core.
         """
         self.is_awaited = True
         return self.is_behind()
@@ -131,12 +131,12 @@
         self.mailbox.put(PurgeUpdate(object_id, group, unix_ms, on_applied))
 
     def set_bans(self, bans: Bans) -> None:
-        """Replace the operators' bans; they bind every write at once, before the mailbox is processed."""
+        """Replace the operators' bans; they apply to writes immediately, before the mailbox is processed."""
         self.next_update()
-        # By the moment of the call, not by the file's time: another process's clock may be wrong.
-        new = {name: now_us() for name, at in bans.included.items() if self.bans.included.get(name) != at}
-        known = {name: at for name, at in self.returned_us.items() if name in bans.included}
-        self.returned_us = known | new
+        # Uses the time of this call, not the one in the file: another process's clock may be wrong.
+        added = {name: now_us() for name, at in bans.included.items() if self.bans.included.get(name) != at}
+        kept = {name: at for name, at in self.returned_us.items() if name in bans.included}
+        self.returned_us = kept | added
         self.bans, self.banned = bans, frozenset(member_id(name) for name in bans.excluded)
         self.mailbox.put(BansUpdate())
 
@@ -147,30 +147,30 @@
             return self.update_count
 
     def find(self, name: str) -> Endpoint | None:
-        """Return a member as the list has it."""
+        """Return a member as the list describes it, or None if it is not listed."""
         return self.listed_endpoints.get(member_id(name))
 
     def proof_age_ms(self) -> int:
-        """Return how long ago the list was certainly current, in milliseconds; negative: never."""
+        """Return the age of the last proof that the list was current, in milliseconds; negative: no proof."""
         return self.validity.proof_age_ms(now_us())
 
-    # Called by peers at the moment of a write, on any thread
+    # Called by peers immediately before a write, on any thread
 
     def is_behind(self) -> bool:
-        """Return whether a source has sent something that should be in the table by now, and isn't.
+        """Return whether a source has sent data that should be in the table by now, and isn't.
 
-        Looks where the bytes are in the order in which they move: unread, read, and then, by the caller, in
-        the table. In another order a read in between would be seen by neither look.
+        Checks the stages in the order in which bytes pass through them: unread, read, and then, by the
+        caller, the table. In another order both checks could miss bytes that are read in between.
         """
         return self.has_unread() or self.source_reads.is_behind(now_us())
 
     def is_outdated(self, attempt: Attempt) -> bool:
         """Return whether an update since the decision forbids the attempt.
 
-        An attempt may wait in a mailbox or for a connection while a member begins to drain or the object is
-        purged; the platform's rules count from the first byte, not from the decision. A purge counts by its
-        number from when the table has it, also where the core did not know it yet. A list that has expired
-        meanwhile, or a table that is behind its sources, forbids the attempt too.
+        A member may begin to drain, or the object may be purged, while an attempt is queued in a mailbox or
+        for a connection; the platform's rules apply at the first byte, not at the decision. A purge applies
+        by its number as soon as the table has it, even if the core has not received it yet. An expired list,
+        or a table that is behind its sources, forbids the attempt too.
         """
         if self.depends_on_list(attempt) and (self.validity.has_expired(now_us()) or self.is_behind()):
             return True
@@ -194,7 +194,7 @@
         endpoint = self.usable_endpoints.get(number)
         return endpoint is not None and endpoint.state is MemberState.READY and number not in self.banned
 
-    # The actor: the rest runs on the table's own thread
+    # The actor: all methods below run on the table's own thread
 
     def run(self) -> None:
         """Process updates until None is in the mailbox."""
@@ -208,7 +208,7 @@
             self.receive(update)
 
     def wait_s(self) -> float | None:
-        """Return how long the list stays valid, in seconds; None: until an update comes."""
+        """Return how long the list stays valid, in seconds; None: until the next update."""
         return self.validity.wait_s(now_us())
 
     def receive(self, update: Update) -> None:
@@ -222,7 +222,7 @@
         if change is not None:
             self.notify(change)
         if self.validity.is_current:
-            self.validity.confirmed.set()  # after the notification: whoever waits finds the core informed
+            self.validity.confirmed.set()  # after `notify`: waiters expect the core to have the change
 
     def apply(self, update: Update) -> TableChange | None:
         """Apply an update; return the change for the core, or None where nothing changes for it."""
@@ -234,7 +234,7 @@
             return None
         update_count = self.next_update()
         if isinstance(update, SourceRead):
-            change = TableChange(())  # attempts that were held back for the source may be decided again
+            change = TableChange(())  # deferred attempts may be decided again
         elif isinstance(update, ListUpdate):
             change = self.on_list(update)
         elif isinstance(update, PurgeUpdate):
@@ -245,7 +245,7 @@
         return change
 
     def on_source_read(self, update: SourceRead) -> bool:
-        """Note that a read is in the table; return whether attempts were held back for it, or may be."""
+        """Record that a read is in the table; return whether attempts were, or may be, deferred for it."""
         was_late = update.read is not None and self.source_reads.end(update.read, now_us())
         if not self.is_awaited:
             return was_late
@@ -253,11 +253,11 @@
         return True
 
     def on_confirmed(self, update: ListConfirmed) -> bool:
-        """Record the proof; return whether members become usable by it."""
+        """Record the proof; return whether it makes members usable."""
         if not self.validity.confirm(update.proved_us, now_us()):
             return False
-        found = fields(members=len(self.listed_endpoints), proof_age_ms=self.proof_age_ms())
-        LOG.info("list is current", extra=found)
+        details = fields(members=len(self.listed_endpoints), proof_age_ms=self.proof_age_ms())
+        LOG.info("list is current", extra=details)
         return True
 
     def on_expiry_check(self) -> bool:
@@ -268,7 +268,7 @@
         return True
 
     def reapply_overlay(self) -> TableChange:
-        """Apply bans and the validity of the list anew; return the members that change by it."""
+        """Apply bans and the list's validity again; return the change of the members affected."""
         bans = self.bans
         changed = [
             endpoint
@@ -278,7 +278,7 @@
         return self.on_list(ListUpdate(False, tuple(changed)))
 
     def effective_endpoint(self, bans: Bans, endpoint: Endpoint) -> Endpoint:
-        """Return a listed member under the operators' bans, and as draining while the list isn't current."""
+        """Return a listed member with the bans applied, and as draining while the list isn't current."""
         state, born_unix_ms = bans.apply_to(endpoint.name, endpoint.state, endpoint.born_unix_ms)
         needs_list = endpoint.kind != self.origin_kind
         if state is MemberState.READY and not self.validity.is_current and needs_list:
@@ -287,7 +287,7 @@
         return endpoint if is_same else replace(endpoint, state=state, born_unix_ms=born_unix_ms)
 
     def observe_timestamp(self, unix_ms: float, now: int) -> None:
-        """Observe a timestamp of the log's clock; 0 is none."""
+        """Observe a timestamp of the log's clock; 0 means that there is none."""
         if unix_ms > 0 and math.isfinite(unix_ms):
             self.clock.observe(int(unix_ms * 1000), now)
 
@@ -302,9 +302,9 @@
         for listed in update.endpoints:
             number = member_id(listed.name)
             endpoint = self.effective_endpoint(bans, listed)
-            before = self.usable_endpoints.get(number)
-            if before is not None or not update.is_complete:
-                self._log_state(before, endpoint, update.revision)
+            previous = self.usable_endpoints.get(number)
+            if previous is not None or not update.is_complete:
+                self._log_state(previous, endpoint, update.revision)
             self.listed_endpoints[number], self.usable_endpoints[number] = listed, endpoint
             if endpoint.state is MemberState.REMOVED:
                 del self.usable_endpoints[number], self.listed_endpoints[number]
@@ -314,11 +314,11 @@
         return TableChange((MemberList(kind, tuple(members), update.version),), tuple(changed))
 
     def _remove_unlisted(self, update: ListUpdate) -> list[IdentifiedEndpoint]:
-        """Remove the members that a complete list lacks, and return them as removed."""
-        named = {member_id(endpoint.name) for endpoint in update.endpoints}
-        unlisted = [number for number in self.usable_endpoints if number not in named]
+        """Remove the members that a complete list lacks, and return them in the state REMOVED."""
+        listed = {member_id(endpoint.name) for endpoint in update.endpoints}
+        unlisted = [number for number in self.usable_endpoints if number not in listed]
         self.listed_endpoints = {
-            number: endpoint for number, endpoint in self.listed_endpoints.items() if number in named
+            number: endpoint for number, endpoint in self.listed_endpoints.items() if number in listed
         }
         return [
             IdentifiedEndpoint(number, replace(self.usable_endpoints.pop(number), state=MemberState.REMOVED))
@@ -330,24 +330,24 @@
         zone, kind, cell = endpoint.zone, endpoint.kind, endpoint.cell
         return Member(number, zone, kind, cell, endpoint.state, endpoint.size, started_ms)
 
-    def _log_state(self, before: Endpoint | None, endpoint: Endpoint, revision: int) -> None:
+    def _log_state(self, previous: Endpoint | None, endpoint: Endpoint, revision: int) -> None:
         """Log a member's new state; a revision of 0 means that no discovery event changed it."""
-        if not revision or (before is not None and before.state is endpoint.state):
+        if not revision or (previous is not None and previous.state is endpoint.state):
             return
         suppressed = self.log_limit.allow(now_us())
         if suppressed < 0:
             return
-        previous = before.state.name.lower() if before is not None else "none"
+        previous_state = previous.state.name.lower() if previous is not None else "none"
         state = endpoint.state.name.lower()
-        found = fields(
-            member=endpoint.name, state=state, before=previous, number=revision, suppressed=suppressed
+        details = fields(
+            member=endpoint.name, state=state, before=previous_state, number=revision, suppressed=suppressed
         )
-        LOG.info("member state", extra=found)
+        LOG.info("member state", extra=details)
 
     def started_ms(self, endpoint: Endpoint, now: int) -> float:
         """Return when a member started or its ban was lifted, by the core's clock; 0: long ago.
 
-        The core keeps the time of a start that it was first given: later timestamps make it more exact.
+        Later timestamps refine the result for the same start; the core keeps the first one that it received.
         """
         started_ms = 0.0
         if endpoint.born_unix_ms > 0 and math.isfinite(endpoint.born_unix_ms):
@@ -356,7 +356,7 @@
         return max(started_ms, module_ms(returned_us)) if returned_us is not None else started_ms
 
     def on_purge(self, update: PurgeUpdate) -> TableChange:
-        """Remember a purge; one that has settled already is no event for the decisions."""
+        """Record a purge; one that has already settled yields no event for the decisions."""
         now = now_us()
         age_us = 0
         if update.unix_ms is not None and math.isfinite(update.unix_ms):
--- a/lupintack/core/messages.py
+++ b/lupintack/core/messages.py
@@ -11,22 +11,22 @@
 
 
 class ResponseSink(Protocol):
-    """Receives the one final answer of a request, for its front. Calls must not block."""
+    """Receives a request's single final answer for its front. Calls must not block."""
 
     def serve(self, answer: Answer, not_modified: bool) -> None:
         """Send an answer; `not_modified`: the client's own copy is current."""
 
     def reject(self, retry_after_ms: int) -> None:
-        """Send that nothing was done, and when to retry; 0: no time is given."""
+        """Reject the request as not executed; `retry_after_ms` of 0: no time for a retry is given."""
 
     def fail(self) -> None:
-        """Send that the request failed; it may have had an effect."""
+        """Report that the request failed; it may have had an effect."""
 
     def report_conflict(self) -> None:
-        """Send that the request's id is in use for another request."""
+        """Report that the request's id is in use for another request."""
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left, as the kernel knows it now, before its thread may have run."""
+        """Return whether the client has left, by the kernel's state: the front may not have noticed yet."""
 
 
 @dataclass(slots=True)
@@ -48,8 +48,8 @@
     idempotency_key: str = ""  # the same for all attempts of the client; "": it sent none
     size_kb: float = 0.0  # of the part, as the settings count; 0: unknown
     number: int = 0  # given by the core
-    class_name: str = ""  # as the front knew it: the index may belong to another class since
-    is_disconnected: bool = False  # set before the core's turn learns of it, and read at each write
+    class_name: str = ""  # as read by the front: the index may belong to another class by now
+    is_disconnected: bool = False  # set before the core's turn handles it, and checked at each write
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, as the core hands it to a member's link."""
+    """One attempt, as the core passes it to a member's link."""
 
     request: ClientRequest
     number: int
@@ -95,8 +95,8 @@
     def is_obsolete(self, now_us: int) -> bool:
         """Return whether the attempt may not be written any more.
 
-        Its client has left, a list change or a purge since its decision forbids it, or its deduplication
-        window or lease is over.
+        True if its client has left, a list change or a purge since its decision forbids it, or its
+        deduplication window or lease is over.
         """
         is_disconnected = self.request.is_disconnected or self.request.sink.is_disconnected()
         return is_disconnected or 0 < self.not_after_us <= now_us or self.is_outdated(self)
@@ -113,13 +113,13 @@
 
 @dataclass(slots=True)
 class Shutdown:
-    """The process ends: `on_all_answered` is called whenever no request awaits its answer."""
+    """The process is shutting down: `on_all_answered` is called whenever no request awaits its answer."""
 
     on_all_answered: Callable[[], None]
 
 
 class FailOpenRequests:
-    """The process ends now: every request that is unanswered is failed."""
+    """The process exits now: every unanswered request is failed."""
 
 
 class MemberLink(Protocol):
@@ -129,13 +129,13 @@
         """Write an attempt to a connection, or queue it until one is free."""
 
     def cancel(self, attempt: Attempt, notify: bool = False) -> None:
-        """Give up an attempt; with `notify`, tell the member first and report the end of the attempt."""
+        """Abandon an attempt; with `notify`, notify the member first and report the end of the attempt."""
 
     def drain(self) -> None:
         """Take no more attempts; close each connection once it is idle."""
 
     def tick(self) -> None:
-        """Look after idle and silent connections; called every quarter of a second."""
+        """Check for idle and silent connections; called every 250 ms."""
 
     def is_idle(self) -> bool:
         """Return whether no connection and no attempt is left."""
--- a/lupintack/core/purge_memory.py
+++ b/lupintack/core/purge_memory.py
@@ -1,11 +1,11 @@
-"""The purges of the last seconds, to check attempts against at the moment of a write."""
+"""The purges of the last seconds, against which attempts are checked immediately before a write."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from typing import NamedTuple
 
-MAX_REMEMBERED_PURGES = 8192  # beyond that the oldest one is taken to concern every object
+MAX_REMEMBERED_PURGES = 8192  # beyond that the oldest one is treated as concerning every object
 SETTLE_MARGIN_US = 4_000_000
 
 
@@ -27,14 +27,14 @@
     """Purges by object and group, numbered in order. Written by the table's thread, read by any."""
 
     def __init__(self, settle_ms: float) -> None:
-        """`settle_ms`: see `set_settle_ms`."""
+        """Start empty; see `set_settle_ms` for `settle_ms`."""
         self.set_settle_ms(settle_ms)
         self.purges: OrderedDict[PurgeKey, RememberedPurge] = OrderedDict()
-        self.forgotten_purge = 0  # number of the last purge that was dropped while it mattered
+        self.forgotten_purge = 0  # number of the last purge that was dropped before it settled
         self.last_number = 0
 
     def set_settle_ms(self, settle_ms: float) -> None:
-        """Set the time after which a purge no longer matters, by the settings."""
+        """Set the time after which a purge no longer matters, from the settings."""
         self.settle_us = int(settle_ms * 1000) + SETTLE_MARGIN_US
 
     def remember(self, object_id: int | None, group: int, now_us: int) -> int:
@@ -50,12 +50,12 @@
         """Return whether a purge later than `known_number` concerns the object or its group."""
         of_object = self.purges.get(PurgeKey(True, object_id))
         of_group = self.purges.get(PurgeKey(False, group))
-        last = self.forgotten_purge
+        latest = self.forgotten_purge
         if of_object is not None:
-            last = max(last, of_object.number)
+            latest = max(latest, of_object.number)
         if of_group is not None:
-            last = max(last, of_group.number)
-        return last > known_number
+            latest = max(latest, of_group.number)
+        return latest > known_number
 
     def _drop_old(self, now_us: int) -> None:
         """Drop purges that have settled, and the oldest ones beyond the bound."""
--- a/lupintack/core/request_intake.py
+++ b/lupintack/core/request_intake.py
@@ -1,4 +1,4 @@
-"""Acceptance of clients' requests: what is refused at once, and what the router is asked to decide on."""
+"""Accepts clients' requests: refuses some immediately, and builds the router's events for the others."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LocalCopy(NamedTuple):
-    """The local copy that could serve a request, in ms; both negative where there is no cache to use."""
+    """The local copy that could serve a request, in ms; both negative if no cache may be used."""
 
     age_ms: float
     link_wait_ms: float
@@ -32,21 +32,21 @@
         timers: TimerQueue,
         idempotency_cache: IdempotencyCache,
     ) -> None:
-        """Begin open: requests are accepted."""
+        """Start by accepting requests."""
         self._state = state
         self._requests = requests
         self._timers = timers
         self._idempotency_cache = idempotency_cache
         self._size_buckets = SizeBuckets()
-        self.is_closed = False  # the process ends: every request is rejected
+        self.is_closed = False  # set when the process exits: every request is rejected
 
     def accept(self, request: ClientRequest) -> Request | None:
-        """Register a request and return the event for the router; None where it has been dealt with."""
+        """Register a request and return the event for the router; None if it is already settled."""
         if self._is_refused(request):
             return None
         service_class = self._state.settings.classes[request.class_index]
         if request.is_disconnected:
-            # The client left before the turn came: its ClientDisconnection finds no request.
+            # The client left before this turn: no entry exists when its ClientDisconnection is handled.
             self._state.counters["received." + service_class.name] += 1
             self._state.counters["disconnected"] += 1
             return None
@@ -54,21 +54,21 @@
         return self._describe(entry, service_class)
 
     def _is_refused(self, request: ClientRequest) -> bool:
-        """Refuse what can't be accepted, and return whether that was done."""
+        """Refuse a request that can't be accepted; return whether it was refused."""
         state = self._state
         if self.is_closed or len(self._requests.by_number) >= state.settings.max_in_flight:
             state.counters["answered.rejected"] += 1
             request.sink.reject(int(state.settings.max_retry_after_ms))
             return True
         if request.class_name and state.class_indexes.get(request.class_name) != request.class_index:
-            # Its class has gone, or has another index, since the front read it: nothing has run.
+            # Its class was removed or got another index since the front read it; nothing has run.
             state.counters["answered.rejected"] += 1
             request.sink.reject(0)
             return True
         other = self._requests.find_by_wire_id(request.wire_id)
         if other is not None and not (other.is_idempotent and is_same_request(other.request, request)):
-            # Guards against a client that uses an open id for something else: the caches know requests by
-            # their ids, and would close a connection that others share.
+            # The client reuses the id of an open request for another one: caches identify requests by id,
+            # and would close a connection that other requests share.
             state.counters["answered.conflict"] += 1
             request.sink.report_conflict()
             return True
@@ -108,7 +108,7 @@
         )
 
     def _local_copy(self, request: ClientRequest) -> LocalCopy:
-        """Return what the local cache could serve; no copy where it may not be used."""
+        """Return the local copy for a request; no copy if the cache may not be used."""
         state = self._state
         cache, table = state.local_cache, state.member_table
         if cache is None or state.now_us - table.validity.proved_us >= MAX_PROOF_AGE_US:
--- a/lupintack/core/request_log.py
+++ b/lupintack/core/request_log.py
@@ -1,7 +1,7 @@
-"""Log lines on single requests: rejections, failures, further attempts, and attempts just after the member
-list has changed.
+"""Log lines about single requests: rejections, failures, further attempts, and attempts shortly after a
+change of the member list.
 
-Each kind is bounded per second, and the next line counts what was suppressed. The counters stay complete.
+Each kind is limited per second, and the next line has the number of suppressed ones. Counters stay complete.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 LOG = logging.getLogger("requests")
 MAX_LINES_PER_S = 10  # of each kind
-MEMBER_CHANGE_WINDOW_US = 500_000  # for so long after a change of the member list each attempt is logged
+MEMBER_CHANGE_WINDOW_US = 500_000  # after a change of the member list; each attempt in it is logged
 
 
 class RequestLog:
-    """Writes bounded log lines. Used by the core's turn alone."""
+    """Writes rate-limited log lines. Used by the core's turn alone."""
 
     def __init__(self) -> None:
-        """Begin with every kind of line allowed."""
+        """Start with every kind of line allowed."""
         self._limits: dict[str, LineLimit] = {}
         self._member_change_until_us = 0
 
     def on_members_changed(self, now_us: int) -> None:
-        """Log the attempts that follow: they show by which list they were decided."""
+        """Log the attempts that follow, to show which member list each was decided on."""
         self._member_change_until_us = now_us + MEMBER_CHANGE_WINDOW_US
 
     def is_after_member_change(self, now_us: int) -> bool:
@@ -37,7 +37,7 @@
     def log_attempt(
         self, now_us: int, entry: RequestInFlight, attempt: Attempt, member: str, update: int
     ) -> None:
-        """Log a further attempt with the end of the one before, or a first one after a change of the list.
+        """Log a further attempt with the last status, or a first one after a change of the list.
 
         `update`: number of the last update that the router had received.
         """
@@ -63,7 +63,7 @@
         self.write(event, now_us, entry.request, **details)
 
     def write(self, event: str, now_us: int, request: ClientRequest, **details: object) -> None:
-        """Write one line, unless its kind has reached this second's bound."""
+        """Write one line, unless its kind has reached this second's limit."""
         limit = self._limits.get(event)
         if limit is None:
             limit = self._limits[event] = LineLimit(MAX_LINES_PER_S)
--- a/lupintack/core/request_table.py
+++ b/lupintack/core/request_table.py
@@ -24,31 +24,31 @@
 
 
 def is_same_request(request: ClientRequest, other: ClientRequest) -> bool:
-    """Return whether two requests ask for the same part of the same object under the same key."""
-    mine, theirs = ((a.class_index, a.item, a.part, a.group, a.idempotency_key) for a in (request, other))
-    return mine == theirs
+    """Return whether two requests are for the same part of the same object under the same key."""
+    first, second = ((a.class_index, a.item, a.part, a.group, a.idempotency_key) for a in (request, other))
+    return first == second
 
 
 class RequestTable:
     """Requests in flight by number and by wire id. The core's turn alone writes it."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start empty."""
         self.by_number: dict[int, RequestInFlight] = {}
         self.number_by_wire_id: dict[str, int] = {}
         self._finished_numbers: list[int] = []
         self._last_number = 0
 
     def get(self, number: int) -> RequestInFlight | None:
-        """Return the request with this number, None where it is no longer in flight."""
+        """Return the request with this number, or None if it is no longer in flight."""
         return self.by_number.get(number)
 
     def find_by_wire_id(self, wire_id: str) -> RequestInFlight | None:
-        """Return the latest request with this wire id, None where none is in flight."""
+        """Return the latest request with this wire id, or None if none is in flight."""
         return self.by_number.get(self.number_by_wire_id.get(wire_id, 0))
 
     def add(self, request: ClientRequest, is_idempotent: bool) -> RequestInFlight:
-        """Give a request its number, and register it."""
+        """Assign a number to a request, and register it."""
         self._last_number = self._last_number % MAX_REQUEST_NUMBER + 1
         number = request.number = self._last_number
         entry = self.by_number[number] = RequestInFlight(request, is_idempotent)
@@ -62,14 +62,14 @@
     def forget_if_finished(self, entry: RequestInFlight) -> None:
         """Mark a request that is answered and has no open attempt for removal at the end of the turn.
 
-        Guards against an attempt that the router starts in the turn in which its request ended: it must be
-        numbered like any other before the entry goes.
+        The router may start an attempt in the turn in which its request ended; it must be numbered like any
+        other, so the entry is kept until then.
         """
         if entry.is_answered and not entry.open_attempts:
             self._finished_numbers.append(entry.request.number)
 
     def remove_finished(self) -> None:
-        """Remove the requests that the turn has finished."""
+        """Remove the requests that finished in this turn."""
         if not self._finished_numbers:
             return
         for number in self._finished_numbers:
--- a/lupintack/core/responder.py
+++ b/lupintack/core/responder.py
@@ -1,4 +1,4 @@
-"""Final answers: each request gets exactly one, from whoever marks it as answered."""
+"""Final answers: each request gets exactly one, from the call that marks it as answered."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     """Answers requests and counts the answers. Used by the core's turn alone."""
 
     def __init__(self, state: CoreState, requests: RequestTable, request_log: RequestLog) -> None:
-        """Take the shared state, the table and the log of requests."""
+        """Use the shared state, the request table and the request log."""
         self._state = state
         self._requests = requests
         self._request_log = request_log
 
     def mark_answered(self, entry: RequestInFlight, counter: str) -> None:
-        """Note that no answer is due any more, and count it by its kind and by the request's size."""
+        """Mark a request as answered, and count the answer by its kind and by the request's size."""
         entry.is_answered = True
         self._state.counters[counter] += 1
         if entry.size_bucket:
             self._state.counters[f"{entry.size_bucket}.{counter}"] += 1
 
     def serve(self, entry: RequestInFlight, answer: Answer, not_modified: bool) -> None:
-        """Answer with what a member has sent."""
+        """Answer a request with a member's answer."""
         self.mark_answered(entry, "answered.served")
         entry.request.sink.serve(answer, not_modified)
 
     def serve_local_copy(self, number: int) -> None:
-        """Answer from the router's own cache, or reject where the copy has been purged."""
+        """Answer from the local cache, or reject the request if the copy has been purged."""
         entry = self._requests.get(number)
         state = self._state
         if entry is None or entry.is_answered or state.local_cache is None:
@@ -42,16 +42,16 @@
         if not table.is_behind() and not table.is_purged_since(entry.request, state.purges_known):
             transfer = state.local_cache.start_transfer(entry.request, state.now_us)
         if transfer is None:
-            self.finish(entry, Reject(number, self._retry_after_ms(), "its own copy was purged"))
+            self.finish(entry, Reject(number, self._retry_after_ms(), "the local copy was purged"))
             return
         self.mark_answered(entry, "answered.local_copy")
         entry.request.sink.serve(transfer.answer, transfer.not_modified)
         self._requests.forget_if_finished(entry)
 
     def finish_unserved(self, entry: RequestInFlight, reason: str) -> None:
-        """Give the final answer of a request that the router has not answered.
+        """Send the final answer of a request that the router has not answered.
 
-        One that went nowhere is rejected, so its client knows that it may be repeated.
+        Without any attempt it is rejected, which lets the client repeat it safely; else it is failed.
         """
         number = entry.request.number
         if not entry.attempts_sent:
@@ -60,7 +60,7 @@
             self.finish(entry, Fail(number, reason))
 
     def _retry_after_ms(self) -> float:
-        """Return how long a client is asked to stay away, as after any other rejection."""
+        """Return the time after which the client may retry, as for any other rejection."""
         return self._state.router.admission.retry_after_ms()
 
     def finish(self, entry: RequestInFlight, action: Reject | Fail) -> None:
--- a/lupintack/core/settings_update.py
+++ b/lupintack/core/settings_update.py
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True)
 class SettingsUpdate:
-    """What changes; a field that is None stays as it is. The callbacks run in the turn and must not block."""
+    """Changes to apply; None leaves a field unchanged. The callbacks run in the turn and must not block."""
 
     settings: Settings | None = None
     on_applied: Callable[[ClassIndexes], None] | None = None  # receives the classes served, by name
     process_count: int | None = None  # processes that share the router's budgets in an upgrade
     local_cache_bytes: int | None = None
-    router_counts: RouterCounts | None = None  # as the fleet's membership has them
+    router_counts: RouterCounts | None = None  # from the fleet's membership
     leases: Leases | None = None  # of the fleet's budgets
     report_demand: Callable[[MeasuredDemand], None] | None = None
 
 
 def apply(state: CoreState, update: SettingsUpdate, class_indexes_in_use: Callable[[], set[int]]) -> None:
-    """Apply an update inside the core's turn: all of it, before any other message.
+    """Apply a whole update within the core's turn, before any other message.
 
-    `class_indexes_in_use` returns the classes of requests that have been read: they keep their indexes.
+    `class_indexes_in_use` returns the class indexes of requests that have been read; these are kept.
     """
     if update.process_count is not None:
         state.process_count = update.process_count
@@ -40,7 +40,7 @@
     settings = state.settings
     if update.settings is not None:
         settings = _number_classes(state, update.settings, class_indexes_in_use())
-    _put_into_force(state, _overlay(state, settings))
+    _activate(state, _overlay(state, settings))
     if update.report_demand is not None:
         update.report_demand(measure_demand(state.router, state.router.now_ms))
     if update.on_applied is not None:
@@ -51,7 +51,7 @@
 
 
 def _number_classes(state: CoreState, settings: Settings, indexes_in_use: set[int]) -> Settings:
-    """Return new settings whose classes keep the indexes that they had, and index the classes served."""
+    """Return new settings whose classes keep their previous indexes, and index the classes served."""
     classes = numbered(state.settings.classes, settings.classes, indexes_in_use)
     served = {cls.name for cls in settings.classes}
     state.class_indexes = {cls.name: n for n, cls in enumerate(classes) if cls.name in served}
@@ -59,7 +59,7 @@
 
 
 def _overlay(state: CoreState, settings: Settings) -> Settings:
-    """Lay the processes of an upgrade, the fleet's counts and its leases over the settings."""
+    """Return the settings overlaid with an upgrade's process count and the fleet's counts and leases."""
     settings = replace(settings, process_count=state.process_count)
     counts = state.router_counts
     if counts is not None:
@@ -72,8 +72,8 @@
     return state.leases.apply_to(settings) if state.leases is not None else settings
 
 
-def _put_into_force(state: CoreState, settings: Settings) -> None:
-    """Hand changed settings to the router; leases change every second, so their change ranks nothing anew."""
+def _activate(state: CoreState, settings: Settings) -> None:
+    """Pass changed settings to the router; leases change every second, so they recompute no ranking."""
     if settings == state.settings:
         return
     if differ_only_in_leases(settings, state.settings):
--- a/lupintack/core/source_reads.py
+++ b/lupintack/core/source_reads.py
@@ -1,11 +1,11 @@
-"""Reads of the table's sources that are not in the table yet, by when their bytes arrived. Thread-safe."""
+"""Reads of the table's sources that are not in the table yet, by arrival time of their bytes. Thread-safe."""
 
 from __future__ import annotations
 
 import threading
 from typing import NamedTuple
 
-MAX_UNAPPLIED_US = 50_000  # since bytes arrived; writes wait for the table from then on
+MAX_UNAPPLIED_US = 50_000  # after the bytes' arrival; from then on writes wait for the table
 
 
 class SourceReadId(NamedTuple):
@@ -15,16 +15,16 @@
 
 
 class SourceReads:
-    """Says whether what a source has sent should be in the table by now."""
+    """Tracks whether data that a source has sent should be in the table by now."""
 
     def __init__(self) -> None:
-        """Begin with no read."""
+        """Start with no read."""
         self._lock = threading.Lock()
         self._arrived_us: dict[SourceReadId, int] = {}
         self._last_number = 0
 
     def begin(self, arrived_us: int) -> SourceReadId:
-        """Note a read of bytes that arrived at `arrived_us` at the earliest; called before it."""
+        """Register a read of bytes that arrived at `arrived_us` at the earliest; called before the read."""
         with self._lock:
             self._last_number += 1
             read = SourceReadId(self._last_number)
@@ -32,13 +32,13 @@
         return read
 
     def end(self, read: SourceReadId, now_us: int) -> bool:
-        """Note that all of a read is in the table; return whether writes waited, or may have, for it."""
+        """Record that all of a read is in the table; return whether writes waited, or may have, for it."""
         with self._lock:
             arrived_us = self._arrived_us.pop(read, now_us)
         return now_us - arrived_us > MAX_UNAPPLIED_US
 
     def is_behind(self, now_us: int) -> bool:
-        """Return whether bytes that arrived too long ago are read and not in the table."""
+        """Return whether bytes have been read, arrived too long ago, and are not in the table yet."""
         if not self._arrived_us:
             return False
         with self._lock:
--- a/lupintack/core/table_updates.py
+++ b/lupintack/core/table_updates.py
@@ -1,4 +1,4 @@
-"""Messages to and from the member table: updates of its sources, and changes for the core."""
+"""Messages to and from the member table: updates from its sources, and changes for the core."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class ListUpdate:
-    """Changes of the list, or all of it."""
+    """Changes of the member list, or the complete list."""
 
     is_complete: bool
     endpoints: tuple[Endpoint, ...]
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class SourceRead:
-    """What a read of a source brought precedes this update in the mailbox."""
+    """The end of a read of a source: its updates precede this one in the mailbox."""
 
     read: SourceReadId | None  # None: its connection has ended
 
@@ -83,14 +83,14 @@
 
 @dataclass(slots=True)
 class TableChange:
-    """What the core is notified of: events for the decisions, and the endpoints behind their member ids."""
+    """A change for the core: events for the decisions, and the endpoints of their member ids."""
 
     events: tuple[Event, ...]
     endpoints: tuple[IdentifiedEndpoint, ...] = ()
     on_applied: Callable[[], None] | None = None
     purge: PurgeUpdate | None = None
     purge_number: int = 0  # counted by the table; 0 for other updates
-    update_count: int = 0  # which updates the core knows with this change: `MemberTable.update_count`
+    update_count: int = 0  # the core has all updates up to this number (MemberTable.update_count)
 
 
 def member_id(name: str) -> int:
--- a/lupintack/core/timers.py
+++ b/lupintack/core/timers.py
@@ -8,7 +8,7 @@
 
 
 class TimerKind(IntEnum):
-    """What a timer is for."""
+    """The purpose of a timer."""
 
     REQUEST_DEADLINE = 0
     ROUTER = 1
@@ -24,10 +24,10 @@
 
 
 class TimerQueue:
-    """Timers by their time, in monotonic microseconds. The core's turn alone changes it."""
+    """Timers ordered by time, in monotonic microseconds. Modified by the core's turn alone."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start empty."""
         self._timers: list[Timer] = []
         self._last_sequence = 0
 
@@ -41,7 +41,7 @@
         return bool(self._timers) and self._timers[0].at_us <= now_us
 
     def pop_due(self, now_us: int) -> Timer | None:
-        """Remove and return the next timer that is due, None where none is."""
+        """Remove and return the next timer that is due, or None."""
         if not self._timers or self._timers[0].at_us > now_us:
             return None
         return heapq.heappop(self._timers)
--- a/lupintack/core/timestamps.py
+++ b/lupintack/core/timestamps.py
@@ -1,6 +1,6 @@
-"""Bounds on the age of other machines' Unix timestamps, where this machine's wall clock may be wrong. Pure.
+"""Bounds on the age of other machines' Unix timestamps, as this machine's wall clock may be wrong. Pure.
 
-A timestamp can't lie in the future, so each one bounds the other machine's time from below. Two estimates
+A timestamp can't lie in the future, so each one is a lower bound of the other machine's time. Two estimates
 use that: `LogClock` never overstates the age of an event, `CopyClock` never understates that of a copy.
 """
 
@@ -11,19 +11,19 @@
 
 
 class LogClock:
-    """The least age of events of one log: by its newest timestamp, and at most by this machine's clock.
+    """Lower bound of the age of a log's events: by its newest timestamp, and at most by this machine's clock.
 
-    Guards against a wall clock that was wrong at the start: by it a purge would have settled long ago, and a
-    cache that has just started would be past its slow start.
+    The wall clock may have been wrong at the start: by that clock alone a purge could have settled long ago,
+    and a cache that has just started could be past its slow start.
     """
 
     def __init__(self, unix_offset_us: int) -> None:
-        """Take this machine's Unix time less its monotonic clock."""
+        """`unix_offset_us`: this machine's Unix time minus its monotonic clock."""
         self.unix_offset_us = unix_offset_us
-        self.log_offset_us: int | None = None  # lower bound of the log's time less the monotonic clock
+        self.log_offset_us: int | None = None  # lower bound of the log's time minus the monotonic clock
 
     def observe(self, stamp_us: int, now_us: int) -> None:
-        """Take a timestamp of the log into account."""
+        """Use a timestamp of the log for the estimate."""
         offset = stamp_us - now_us
         if self.log_offset_us is None or offset > self.log_offset_us:
             self.log_offset_us = offset
@@ -36,10 +36,10 @@
 
 
 class CopyClock:
-    """The greatest age of copies: by this machine's clock or the newest timestamps, whichever is later."""
+    """Upper bound of the age of copies: by the later of this machine's clock and the newest timestamps."""
 
     def __init__(self, unix_offset_us: int) -> None:
-        """Take this machine's Unix time less its monotonic clock."""
+        """`unix_offset_us`: this machine's Unix time minus its monotonic clock."""
         self.unix_offset_us = unix_offset_us
         self.ahead_us = 0  # of this machine's clock, by the timestamps of this window
         self.previous_ahead_us = 0  # by those of the window before
@@ -47,9 +47,9 @@
         self.rejected_ahead_us: int | None = None  # how far ahead the last rejected timestamp was
 
     def observe(self, stamp_us: int, now_us: int) -> bool:
-        """Take a timestamp into account; return False where it is rejected as corrupt.
+        """Use a timestamp for the estimate; return False if it is rejected as corrupt.
 
-        Two that agree are accepted: then this machine's clock was wrong at the start.
+        One that agrees with the last rejected one is accepted: this machine's clock was wrong at the start.
         """
         self._rotate_window(now_us)
         ahead = stamp_us - now_us - self.unix_offset_us
--- a/lupintack/core/trace.py
+++ b/lupintack/core/trace.py
@@ -1,7 +1,7 @@
 """Trace of the decisions' events and actions, one line each, for counts over a fleet (docs/fleet.md).
 
-Off unless the environment has `LUPINTACK_TRACE=1`. Lines go to the standard error: `~`, the Unix time in ms,
-a word and its values, which benchmarks/fleet.py reads.
+Disabled unless the environment has `LUPINTACK_TRACE=1`. Lines are written to standard error and read by
+benchmarks/fleet.py: `~`, the Unix time in ms, a word and its values.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def event_line(event: Event) -> str:
-    """Return an event's line, or nothing for one that isn't counted."""
+    """Return an event's line, or "" for one that isn't traced."""
     match event:
         case Request():
             return _request_line(event)
@@ -68,7 +68,7 @@
 
 
 def action_line(action: Action) -> str:
-    """Return an action's line, or nothing for one that isn't counted."""
+    """Return an action's line, or "" for one that isn't traced."""
     if isinstance(action, Fetch):
         flags = f"{int(action.coalesce)}{int(action.revalidate)}{int(action.only_if_cached)}"
         return (
@@ -83,7 +83,7 @@
 
 
 def writer(environ: Mapping[str, str]) -> Callable[[int, Iterable[Event], Iterable[Action]], None] | None:
-    """Return the function that writes one turn, where the environment asks for a trace."""
+    """Return the function that traces one turn, or None if the environment doesn't enable the trace."""
     return write if environ.get(ENABLE_VARIABLE) == "1" else None
 
 
