--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -24,7 +24,7 @@
 from lupintack.lifecycle.upgrade_peer import UpgradePeer
 from lupintack.peers import resp
 from lupintack.standins.net import at, listen
-from tests.scenario import Lines, Scenario
+from tests.scenario import MessageReader, Scenario
 from tests.site import eventually
 
 TILE = "/ops/map-tiles/00000000000000aa"
@@ -248,7 +248,7 @@
     assert play.node.admin is not None
     with socket.create_connection(play.node.admin.sock.getsockname()) as sock:
         sock.sendall(b"POST /api/exclude?name=s-1%0a HTTP/1.1\r\nHost: x\r\n\r\n")
-        status, _, body = Lines(sock).message()
+        status, _, body = MessageReader(sock).read_message()
     assert " 400 " in status and body.count("\n") == 1
     play.close()
 
@@ -282,7 +282,7 @@
         """,
         close=False,
     )
-    assert out and play.wanted_at != out[0] and play.wanted_from != out[0]
+    assert out and play.last_attempt_member != out[0] and play.last_attempt_source != out[0]
     assert play.node.core.counters["ended.outdated"] == 1
     play.close()
 
@@ -291,8 +291,8 @@
     """A cache is out, and comes again on the list at another address: nothing reaches it until the call."""
     play = Scenario()
     play.run("board expect watch 1\nstaff call POST /api/exclude?name=s-1 200", close=False)
-    play.members["s-1 moved"] = listen(play.member("s-1 moved"))
-    moved = json.dumps(play.line("s-1", dial=at(play.members["s-1 moved"])))
+    play.members["s-1 moved"] = listen(play.member_server("s-1 moved"))
+    moved = json.dumps(play.host_entry("s-1", dial=at(play.members["s-1 moved"])))
     play.run(f'board send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False)
     eventually(lambda: play.node.discovery.last_revision == 2 and play.node.member_table.mailbox.empty())
     for n in range(12):
@@ -307,7 +307,7 @@
             """,
             close=False,
         )
-        assert not play.wanted_at.startswith("s-1")
+        assert not play.last_attempt_member.startswith("s-1")
     play.run("staff call POST /api/include?name=s-1 200", close=False)
     eventually(lambda: member_id("s-1") in play.node.core.router.endpoints.by_id)
     assert (
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lupintack.fronts import http1_connection
-from tests.scenario import Lines, Scenario
+from tests.scenario import MessageReader, Scenario
 from tests.site import eventually
 
 TILE = "/ops/map-tiles/00000000000000aa"
@@ -83,7 +83,7 @@
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # most of the answer waits at the router
         sock.connect(play.node.http1.sock.getsockname())
-        play.clients["a"] = Lines(sock)
+        play.clients["a"] = MessageReader(sock)
         play.run(
             f"""
             client a send GET {TILE} Connection:close
@@ -154,8 +154,8 @@
             play.node.http1.stop_reading = ended  # type: ignore[method-assign]
             play.run("router send TERM", close=False)
             assert done.wait(5)
-            play.stopping.join(0.3)
-            self.assertTrue(play.stopping.is_alive())
+            play.stop_thread.join(0.3)
+            self.assertTrue(play.stop_thread.is_alive())
             gate.set()
             play.run("""
                 cache expect w
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -123,7 +123,7 @@
             """,
                 close=False,
             )
-            sock = play.named["w"][0]
+            sock = play.named_attempts["w"][0]
 
             def drip() -> None:
                 try:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -15,7 +15,7 @@
 from lupintack.standins.deployment import HOSTS, line
 from lupintack.standins.fleet import Fleet
 from lupintack.standins.processes import Processes, call
-from tests.scenario import Lines
+from tests.scenario import MessageReader
 from tests.site import eventually
 
 SOCKETS = 72
@@ -39,7 +39,7 @@
     with socket.create_connection(where, timeout=5.0) as sock:
         head = f"GET /ops/map-tiles/{number:016x} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
         sock.sendall(f"{head}Req-Id: {number:016x}\r\nReq-Wait-Ms: 3000\r\n\r\n".encode())
-        return int(Lines(sock).message()[0].split()[1])
+        return int(MessageReader(sock).read_message()[0].split()[1])
 
 
 def open_files(pid: int) -> int:
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -25,7 +25,7 @@
 from lupintack.standins import deployment
 from lupintack.standins.audit import NEVER_RAN, Sent
 from lupintack.standins.fleet import Fleet, Terms
-from tests.scenario import Lines
+from tests.scenario import MessageReader
 from tests.site import eventually
 
 FACTORS: dict[str, tuple[Any, ...]] = {
@@ -158,7 +158,7 @@
         parts = (("refused", 0.08), ("error", 0.12), ("lost", 0.16), ("late", 0.20), ("closed", 0.23))
         return next((word for word, below in parts if drawn < below), "")
 
-    def ask(self, lines: Lines, cls: str, item: str, token: str) -> bool:
+    def ask(self, lines: MessageReader, cls: str, item: str, token: str) -> bool:
         """One request; whether its connection can be used again."""
         wire_id = secrets.token_hex(8)
         body = b"note" if cls == "post" else b""
@@ -171,7 +171,7 @@
         head += f"Content-Length: {len(body)}\r\n\r\n" if body else "\r\n"
         began = time.monotonic()
         lines.sock.sendall(head.encode() + body)
-        first, headers, _ = lines.message()
+        first, headers, _ = lines.read_message()
         with self.lock:
             self.answers.append((cls, int(first.split()[1]), began, time.monotonic()))
             if "srv-wait-ms" in headers:
@@ -186,14 +186,14 @@
         where = self.node.servers[0].sock.getsockname()
         lines = None
         for n in range(10):
-            lines = lines or Lines(socket.create_connection(where))
+            lines = lines or MessageReader(socket.create_connection(where))
             cls = ("media", "pages", "pages", "post")[(n + number) % 4]
             item = f"{random.randrange(1, 20):016x}"
             token = f"{number:08x}{n:08x}"
             for again in range(2 if cls == "post" and random.random() < 0.5 else 1):
                 if again:  # the client's own retry, with its key, before and after the window
                     time.sleep(random.choice((0.05, 0.4)))
-                if not self.ask(lines or Lines(socket.create_connection(where)), cls, item, token):
+                if not self.ask(lines or MessageReader(socket.create_connection(where)), cls, item, token):
                     lines = None
         if lines is not None:
             lines.sock.close()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -205,7 +205,7 @@
     def answers() -> None:
         while not over.is_set():
             try:
-                _, sock, parts = play.wants.get(timeout=0.05)
+                _, sock, parts = play.member_messages.get(timeout=0.05)
             except Exception:
                 continue
             fields = f"entity=t0,issued={int(time.time() * 1000)}"
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -26,7 +26,7 @@
 from lupintack.standins import deployment
 from lupintack.standins.deployment import SETTINGS
 from lupintack.standins.net import at
-from tests.scenario import Lines, Scenario
+from tests.scenario import MessageReader, Scenario
 from tests.site import eventually
 
 TILE = "/ops/map-tiles/00000000000000aa"
@@ -171,8 +171,8 @@
             play.run(f"client a send GET {TILE}?nth=1", close=False)
             play.run("router send TERM", close=False)
             eventually(lambda: all(conn.reading_ended for conn in play.node.http1.connections))
-            play.stopping.join(0.4)
-            self.assertTrue(play.stopping.is_alive())
+            play.stop_thread.join(0.4)
+            self.assertTrue(play.stop_thread.is_alive())
             gate.set()
             play.run("""
                 cache expect v chunk=1
@@ -481,7 +481,7 @@
             client a send GET {TILE}
             cache expect old at=s-1
         """, close=False)  # fmt: skip
-        new = json.dumps(play.line("s-1", host="s-9"))
+        new = json.dumps(play.host_entry("s-1", host="s-9"))
         play.run(f"""
             board send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {new}]}}}}
             board applied 3
@@ -492,7 +492,7 @@
             cache send fresh ok - x
             client b expect 200
         """)
-        self.assertIsNot(play.named["old"][0], play.named["fresh"][0])
+        self.assertIsNot(play.named_attempts["old"][0], play.named_attempts["fresh"][0])
 
     def test_what_is_no_event_changes_nothing_and_is_logged(self) -> None:
         strange, bare = "{line s-1 Sleeping}", '{"dial":"127.0.0.1:1","health":"Ready"}'
@@ -579,7 +579,7 @@
         ends[1].sendall(b"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 2000\r\n\r\n")
         conn.expire()
         threading.Thread(target=conn.run, daemon=True).start()
-        play.clients["a"] = Lines(ends[1])
+        play.clients["a"] = MessageReader(ends[1])
         play.run("""
             cache expect w
             cache send w ok - crossed
@@ -722,7 +722,7 @@
             play = Scenario()
             play.node.terms.quota.max_connections = 1  # nothing but the silent connection
             play.run("\n".join(ask % (n, TILE, n) for n in range(15)))
-        words = [play.wants.get(timeout=5)[2][0] for _ in range(10)]
+        words = [play.member_messages.get(timeout=5)[2][0] for _ in range(10)]
         self.assertIn("there", words)
 
     def test_one_in_doubt_is_passed_over_for_another(self) -> None:
@@ -737,7 +737,7 @@
                 client b send GET {TILE}?nth=1
                 cache expect v
             """)
-        self.assertIsNot(play.named["w"][0], play.named["v"][0])
+        self.assertIsNot(play.named_attempts["w"][0], play.named_attempts["v"][0])
 
     def test_a_yes_in_the_form_of_every_answer_keeps_the_connection(self) -> None:
         """`TAG yes - ""`: read as a bad frame, it ended a connection just as that had shown to work."""
