--- a/tests/site.py
+++ b/tests/site.py
@@ -1,4 +1,4 @@
-"""A router in this process between stand-ins that answer by themselves, with HTTP/2 on."""
+"""An in-process router with HTTP/2 enabled, between stand-ins that answer automatically."""
 
 from __future__ import annotations
 
@@ -25,58 +25,58 @@
 }  # fmt: skip
 
 
-def eventually(what: Callable[[], bool], patience: float = 5.0) -> None:
-    """Wait for an event that nothing announces."""
-    until = time.monotonic() + patience
-    while not what():
-        assert time.monotonic() < until, "it did not come"
+def eventually(condition: Callable[[], bool], timeout_s: float = 5.0) -> None:
+    """Poll until the condition holds; fail after the timeout."""
+    deadline = time.monotonic() + timeout_s
+    while not condition():
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.005)
 
 
 class Site:
-    """The router and all that stands in around it."""
+    """A router and the stand-ins of its members, discovery and clients."""
 
     def __init__(self, terms: Terms | None, http2: dict[str, Any], **limits: Any) -> None:
         self.fleet = Fleet(terms)
-        wanted = operator.parse(
+        operator_config = operator.parse(
             {"http2": {"enabled": True, "listen": "127.0.0.1:0", **http2}}, "operator.toml"
         )
         self.conf = parse(self.fleet.configuration(**limits), {})
         cdni = None
-        if wanted.http2.cdni_listen:
+        if operator_config.http2.cdni_listen:
             cdni = cdni_conf.parse(CDNI, "cdni.toml", self.conf.names.classes)
-        self.node = Node(self.conf, cdni, wanted)
+        self.node = Node(self.conf, cdni, operator_config)
         self.node.start()
         self.http1: tuple[str, int] = self.node.servers[0].sock.getsockname()
         self.front = self.node.http2[0]
         self.http2: tuple[str, int] = self.front.sock.getsockname()
         self.apps: list[App] = []
-        self.stopping: threading.Thread | None = None
+        self.stop_thread: threading.Thread | None = None
 
-    def app(self, **how: Any) -> App:
-        app = App(self.http2, **how)
+    def app(self, **options: Any) -> App:
+        app = App(self.http2, **options)
         self.apps.append(app)
         return app
 
     def count(self, name: str) -> int:
         return self.node.core.counters[name]
 
-    def asked(self, cls: str) -> int:
+    def member_requests(self, cls: str) -> int:
         return sum(member.requests_by_class[cls] for member in self.fleet.members.values())
 
-    def terms(self, **changes: Any) -> None:
-        """Other bounds of the front, as SIGHUP would bring them."""
+    def change_limits(self, **changes: Any) -> None:
+        """Change limits of the HTTP/2 front, as a reload by SIGHUP would."""
         self.front.apply(dataclasses.replace(self.front.terms, **changes))
 
     def stop(self) -> None:
-        """SIGTERM."""
-        self.stopping = threading.Thread(target=self.node.stop, daemon=True)
-        self.stopping.start()
+        """Stop the router as SIGTERM would, without waiting."""
+        self.stop_thread = threading.Thread(target=self.node.stop, daemon=True)
+        self.stop_thread.start()
 
-    def stopped(self, patience: float = 6.0) -> None:
-        assert self.stopping is not None
-        self.stopping.join(patience)
-        assert not self.stopping.is_alive()
+    def wait_stopped(self, timeout_s: float = 6.0) -> None:
+        assert self.stop_thread is not None
+        self.stop_thread.join(timeout_s)
+        assert not self.stop_thread.is_alive()
 
     def close(self) -> None:
         for app in self.apps:
@@ -87,9 +87,9 @@
 
 @contextmanager
 def site(terms: Terms | None = None, limits: dict[str, Any] | None = None, **http2: Any) -> Iterator[Site]:
-    """A site for one test."""
-    play = Site(terms, http2, **(limits or {}))
+    """Run a site for one test, and close it afterwards."""
+    running_site = Site(terms, http2, **(limits or {}))
     try:
-        yield play
+        yield running_site
     finally:
-        play.close()
+        running_site.close()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -218,7 +218,7 @@
     with site(terms) as play:
         client = Client(play.http2)
         call = client.begin("alert-ack", ITEM, body=b"seen")
-        eventually(lambda: play.asked("alert-ack") == 1)
+        eventually(lambda: play.member_requests("alert-ack") == 1)
         client.close()
         assert isinstance(call.result(5), Unknown)
         with pytest.raises(ValueError, match="closed"):
--- a/tests/test_client_disconnection.py
+++ b/tests/test_client_disconnection.py
@@ -127,7 +127,7 @@
                 counted(play, "disconnected", 1)
                 gate.set()
                 counted(play, "ended.outdated", 1)
-                self.assertEqual(play.asked("alert-ack"), 0)
+                self.assertEqual(play.member_requests("alert-ack"), 0)
 
 
 class Turn(unittest.TestCase):
@@ -230,4 +230,4 @@
             counted(play, "http2.reset", 1)
             gate.set()
             counted(play, "cdni.left", 1)
-            self.assertEqual((play.count("received.map-tiles"), play.asked("map-tiles")), (0, 0))
+            self.assertEqual((play.count("received.map-tiles"), play.member_requests("map-tiles")), (0, 0))
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -68,7 +68,7 @@
         app.ask("GET", VIDEO)
         app.sock.close()
         eventually(lambda: play.count("received.river-video") == 1 and not play.front.connections)
-        assert play.asked("river-video") == 0
+        assert play.member_requests("river-video") == 0
 
 
 def test_a_stream_that_is_reset_before_it_was_read_gets_no_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -88,7 +88,7 @@
         app.reset(app.ask("GET", VIDEO))
         app.reset(app.ask("PUT", ACK, b"seen"))
         eventually(lambda: play.count("http2.reset") == 2)
-        assert play.asked("river-video") == 0 and play.asked("alert-ack") == 0
+        assert play.member_requests("river-video") == 0 and play.member_requests("alert-ack") == 0
         eventually(lambda: play.front.stream_table.open == 0 and play.front.stream_table.bytes == 0)
         late.late_s.clear()
         assert app.answer(app.ask("GET", TILE)).status == 200, "the connection goes on"
@@ -180,7 +180,7 @@
             got = app.answer(app.ask_with(change(app.fields("GET", TILE))))
             assert got.reset == PROTOCOL, number
         assert app.answer(app.ask("GET", TILE)).status == 200
-        assert play.count("http2.malformed") == len(MALFORMED) and play.asked("map-tiles") <= 3
+        assert play.count("http2.malformed") == len(MALFORMED) and play.member_requests("map-tiles") <= 3
 
 
 def test_a_doubled_id_is_no_id() -> None:
@@ -289,7 +289,7 @@
         before = app.ask("PUT", ACK, b"half", end=False)
         app.reset(before)
         out = app.ask("PUT", ACK, b"whole")
-        eventually(lambda: play.asked("alert-ack") == 1)
+        eventually(lambda: play.member_requests("alert-ack") == 1)
         app.reset(out)
         eventually(lambda: play.count("disconnected") == 1)
         done = app.ask("PUT", ACK, b"whole")
@@ -299,7 +299,7 @@
         except Exception:  # the library knows that it is over; the frame goes out all the same
             app.raw(RstStreamFrame(done, error_code=8))
         assert app.answer(app.ask("GET", TILE)).status == 200
-        assert play.asked("alert-ack") == 2 and play.fleet.ran["00000000000000ac"] <= 2
+        assert play.member_requests("alert-ack") == 2 and play.fleet.ran["00000000000000ac"] <= 2
         assert play.count("received.alert-ack") == 2
         assert play.count("disconnected") + play.count("answered.served") == 3, (
             "one end each, with the tile's"
@@ -311,12 +311,12 @@
         app = play.app()
         for n in range(10):
             app.ask("PUT", f"/ops/alert-ack/{n:016x}", b"seen")
-        eventually(lambda: play.asked("alert-ack") == 10)
+        eventually(lambda: play.member_requests("alert-ack") == 10)
         app.close()
         eventually(lambda: play.count("disconnected") == 10)
         other = play.app()
         assert other.answer(other.ask("GET", TILE)).status == 200
-        assert play.asked("alert-ack") == 10 and set(play.fleet.ran.values()) <= {1}
+        assert play.member_requests("alert-ack") == 10 and set(play.fleet.ran.values()) <= {1}
         assert play.count("answered.served") == 1
         eventually(
             lambda: not play.node.core.requests_in_flight
@@ -332,7 +332,7 @@
         assert [app.answer(one).status for one in two] == [200, 200], "the same question twice is harmless"
         assert app.answer(other).status == 409
         first = app.ask("PUT", ACK, b"seen", req_id=name)
-        eventually(lambda: play.asked("alert-ack") == 1)
+        eventually(lambda: play.member_requests("alert-ack") == 1)
         with socket.create_connection(play.http1, timeout=5) as sock:
             lines = ["Host: x", f"Req-Id: {name}", "Req-Wait-Ms: 2000", "Content-Length: 4", "", "seen"]
             sock.sendall("\r\n".join([f"PUT {ACK} HTTP/1.1", *lines]).encode())
@@ -358,7 +358,7 @@
             pass
         assert (0, CALM) in [(0, code) for _, code in app.end()] or app.closed
         eventually(lambda: play.count("http2.ended.calm") == 1)
-        assert play.count("http2.streams") < 1000 and play.asked("map-tiles") < 1000
+        assert play.count("http2.streams") < 1000 and play.member_requests("map-tiles") < 1000
         assert good.answer(good.ask("GET", VIDEO)).status == 200
         eventually(lambda: not play.node.core.requests_in_flight)
 
@@ -605,7 +605,7 @@
         assert got.over() or between > last
         assert app.streams[late].reset in (REFUSED, -1) and not app.streams[late].heads
         assert app.end() and len(app.goaways) == 2
-        play.stopped()
+        play.wait_stopped()
 
 
 def test_a_stream_between_the_two_notices_is_served() -> None:
@@ -705,16 +705,16 @@
         app = play.app(window=1 << 24)
         for n in range(60):
             app.ask("GET", f"{VIDEO}?nth={n}")
-        eventually(lambda: play.asked("river-video") >= 30)
+        eventually(lambda: play.member_requests("river-video") >= 30)
         began = time.monotonic()
         play.stop()
-        play.stopped(5.0)
+        play.wait_stopped(5.0)
         assert time.monotonic() - began < 3.7, "the longest deadline, counted as 3 s, and 0.7 s"
 
 
 def test_an_old_connection_is_told_to_go_away() -> None:
     with site() as play:
-        play.terms(age_us=300_000)
+        play.change_limits(age_us=300_000)
         app = play.app()
         answered = 0
         while not app.goaways:
--- a/tests/test_http2_many.py
+++ b/tests/test_http2_many.py
@@ -73,7 +73,7 @@
         play.stop()
         for thread in threads:
             thread.join(10)
-        play.stopped(8.0)
+        play.wait_stopped(8.0)
         assert not [day.fault for day in days if day.fault]
         ends = {"served": 0, "reset": 0, "refused": 0, "open": 0}
         for day in days:
