--- a/tests/test_client_disconnection.py
+++ b/tests/test_client_disconnection.py
@@ -1,7 +1,7 @@
-"""A client that has gone: nothing more is sent for it, and it is noticed while its request waits.
+"""Client disconnections: nothing more is sent for the request, and they are noticed while it waits.
 
-Each test forces the order by a gate: a connection that comes up only when it is let, a handler that goes on
-only then. `late` holds connects to members back, `settings` words a deployment that may or may not cancel.
+Each test forces the order of events by a gate, at a connect or in a handler. `delayed_connects` delays the
+connects to members, `settings` makes a deployment with changed limits.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 
 def settings(**limits: object) -> dict[str, Any]:
-    made = copy.deepcopy(SETTINGS)
-    made["limits"] |= limits
-    return made
+    merged = copy.deepcopy(SETTINGS)
+    merged["limits"] |= limits
+    return merged
 
 
 @contextmanager
-def late() -> Iterator[threading.Event]:
-    """Connections to members come up when the event is set."""
+def delayed_connects() -> Iterator[threading.Event]:
+    """Delay connects to members until the event is set."""
     gate, real = threading.Event(), Connection.connect
 
     def connect(conn: Connection) -> AttemptStatus | None:
@@ -53,140 +53,140 @@
             gate.set()
 
 
-def counted(play: Scenario | Site, name: str, times: int) -> None:
-    """Wait until something was counted so often."""
-    eventually(lambda: play.node.core.counters[name] == times)
+def wait_for_count(scenario: Scenario | Site, name: str, times: int) -> None:
+    """Wait until a counter has the value `times`."""
+    eventually(lambda: scenario.node.core.counters[name] == times)
 
 
-def links(play: Scenario | Site) -> list[Peer]:
-    return [link for _, link in play.node.core.member_links.open_links.values() if isinstance(link, Peer)]
+def links(scenario: Scenario | Site) -> list[Peer]:
+    return [link for _, link in scenario.node.core.member_links.open_links.values() if isinstance(link, Peer)]
 
 
-def waits(play: Scenario | Site) -> bool:
-    """Whether an attempt waits for a connection."""
-    return any(link.waiting_attempts for link in links(play))
+def has_waiting_attempts(scenario: Scenario | Site) -> bool:
+    """Return whether an attempt waits for a connection."""
+    return any(link.waiting_attempts for link in links(scenario))
 
 
-def up(play: Scenario) -> bool:
-    """Whether every connection has come up, and nothing waits for one."""
-    return all(conn.is_connected for link in links(play) for conn in link.pool.connections) and not waits(
-        play
-    )
+def all_connected(scenario: Scenario) -> bool:
+    """Return whether every connection is established, and no attempt waits for one."""
+    return all(
+        conn.is_connected for link in links(scenario) for conn in link.pool.connections
+    ) and not has_waiting_attempts(scenario)
 
 
-class Waiting(unittest.TestCase):
-    """A request that waits for a connection to a member is not written once its client has left."""
+class WaitingAttemptTest(unittest.TestCase):
+    """An attempt that waits for a connection is not written once its client has disconnected."""
 
-    def leave(self, play: Scenario, line: str, leave: Callable[[], None]) -> None:
-        with late() as gate:
-            play.run(line, close=False)
-            eventually(lambda: waits(play))
-            leave()
-            counted(play, "disconnected", 1)
+    def assert_not_sent(self, scenario: Scenario, line: str, disconnect: Callable[[], None]) -> None:
+        with delayed_connects() as gate:
+            scenario.run(line, close=False)
+            eventually(lambda: has_waiting_attempts(scenario))
+            disconnect()
+            wait_for_count(scenario, "disconnected", 1)
             gate.set()
-            eventually(lambda: up(play))
-        play.run("cache expect nothing 50")
-        self.assertEqual(play.node.core.counters["ended.outdated"], 1)
+            eventually(lambda: all_connected(scenario))
+        scenario.run("cache expect nothing 50")
+        self.assertEqual(scenario.node.core.counters["ended.outdated"], 1)
 
-    def test_whatever_its_class_and_whether_attempts_may_be_cancelled(self) -> None:
-        """Only what is safe to repeat was withdrawn, and only where the settings allow cancelling."""
+    def test_request_is_not_sent_for_any_class_with_and_without_cancelling(self) -> None:
+        """Guards against withdrawing attempts only if they are safe to repeat and cancelling is allowed."""
         for cancelling in (True, False):
             for line in (f"client a send GET {TILE}", f"client a send PUT {ACK} body=seen"):
                 with self.subTest(line=line, cancelling=cancelling):
-                    play = Scenario(settings=settings(cancelling=cancelling))
-                    self.leave(play, line, partial(play.run, "client a close", close=False))
+                    scenario = Scenario(settings=settings(cancelling=cancelling))
+                    self.assert_not_sent(scenario, line, partial(scenario.run, "client a close", close=False))
 
-    def test_a_reset_counts_as_a_close(self) -> None:
-        play = Scenario()
+    def test_reset_counts_as_disconnection(self) -> None:
+        scenario = Scenario()
 
         def reset() -> None:
-            sock = play.clients.pop("a").sock
+            sock = scenario.clients.pop("a").sock
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
 
-        self.leave(play, f"client a send PUT {ACK} body=seen", reset)
+        self.assert_not_sent(scenario, f"client a send PUT {ACK} body=seen", reset)
 
-    def test_a_client_that_shuts_down_its_writing_counts_as_disconnected(self) -> None:
-        play = Scenario()
+    def test_shutdown_of_writing_counts_as_disconnection(self) -> None:
+        scenario = Scenario()
 
-        def half() -> None:
-            play.clients["a"].sock.shutdown(socket.SHUT_WR)
+        def shut_down_writing() -> None:
+            scenario.clients["a"].sock.shutdown(socket.SHUT_WR)
 
-        self.leave(play, f"client a send PUT {ACK} body=seen", half)
+        self.assert_not_sent(scenario, f"client a send PUT {ACK} body=seen", shut_down_writing)
 
-    def test_a_stream_that_is_reset_and_one_whose_connection_ends(self) -> None:
-        for whole in (False, True):
-            with self.subTest(connection=whole), site() as play, late() as gate:
-                app = play.app()
+    def test_http2_stream_reset_and_connection_close_count_as_disconnection(self) -> None:
+        for ends_connection in (False, True):
+            with self.subTest(connection=ends_connection), site() as running_site, delayed_connects() as gate:
+                app = running_site.app()
                 stream = app.ask("PUT", ACK, b"seen")
-                eventually(partial(waits, play))
-                if whole:
+                eventually(partial(has_waiting_attempts, running_site))
+                if ends_connection:
                     app.close()
                 else:
                     app.reset(stream)
-                counted(play, "disconnected", 1)
+                wait_for_count(running_site, "disconnected", 1)
                 gate.set()
-                counted(play, "ended.outdated", 1)
-                self.assertEqual(play.member_requests("alert-ack"), 0)
+                wait_for_count(running_site, "ended.outdated", 1)
+                self.assertEqual(running_site.member_requests("alert-ack"), 0)
 
 
-class Turn(unittest.TestCase):
-    """The turn comes late: what left meanwhile is not begun."""
+class DelayedTurnTest(unittest.TestCase):
+    """The core's turn is delayed: requests of clients that left in the meantime are not sent."""
 
-    def test_a_client_that_disconnects_before_the_turn_that_accepts_its_request(self) -> None:
-        play = Scenario()
-        core = play.node.core
+    def test_request_is_not_sent_if_the_client_disconnects_before_its_turn(self) -> None:
+        scenario = Scenario()
+        core = scenario.node.core
         with core.mailbox.turn_lock:
-            play.run(f"client a send PUT {ACK} body=seen", close=False)
+            scenario.run(f"client a send PUT {ACK} body=seen", close=False)
             eventually(lambda: len(core.mailbox.messages) == 1)
-            play.run("client a close", close=False)
+            scenario.run("client a close", close=False)
             eventually(lambda: len(core.mailbox.messages) == 2)
         core.mailbox.wake_event.set()
         eventually(lambda: core.counters["disconnected"] == 1)
-        play.run("cache expect nothing 50")
+        scenario.run("cache expect nothing 50")
         self.assertEqual((core.counters["sent.alert-ack"], core.requests_in_flight), (0, {}))
 
-    def test_a_client_that_disconnects_while_an_attempt_result_is_in_the_mailbox(self) -> None:
-        """No further attempt, though its turn does not know yet why not: the word comes behind the end."""
-        play = Scenario()
-        core = play.node.core
-        play.run(f"client a send GET {TILE}\ncache expect w", close=False)
+    def test_no_further_attempt_if_the_client_disconnects_while_a_result_is_queued(self) -> None:
+        """No further attempt is sent, although the disconnection is queued behind the attempt's result."""
+        scenario = Scenario()
+        core = scenario.node.core
+        scenario.run(f"client a send GET {TILE}\ncache expect w", close=False)
         with core.mailbox.turn_lock:
-            play.run("cache send w nothing tell=s", close=False)
+            scenario.run("cache send w nothing tell=s", close=False)
             eventually(lambda: len(core.mailbox.messages) == 1)
-            # As the front's thread sets it, before its word is in the mailbox.
+            # As the front's thread sets it, before its message is in the mailbox.
             next(iter(core.requests_in_flight.values())).request.is_disconnected = True
         core.mailbox.wake_event.set()
         eventually(lambda: core.counters["ended.miss"] == 1)
-        play.run("cache expect nothing 50", close=False)
-        play.run("client a close", close=False)
+        scenario.run("cache expect nothing 50", close=False)
+        scenario.run("client a close", close=False)
         eventually(lambda: not core.requests_in_flight)
-        play.close()
+        scenario.close()
         self.assertEqual(core.counters["sent.map-tiles"], 1)
 
 
-class Noticed(unittest.TestCase):
-    """A client's end shows also where its bytes are not read."""
+class DetectionTest(unittest.TestCase):
+    """A disconnection is noticed even while the client's bytes are not read."""
 
-    def test_behind_bytes_that_are_not_taken_while_a_request_is_open(self) -> None:
-        for much in (10, 30_000):
-            with self.subTest(bytes=much):
-                play = Scenario()
-                play.run(
+    def test_disconnection_behind_unread_bytes_is_noticed(self) -> None:
+        for size in (10, 30_000):
+            with self.subTest(bytes=size):
+                scenario = Scenario()
+                scenario.run(
                     f"""
                     client a send GET {TILE}
                     cache expect w
-                    client a send raw {"x" * much}
+                    client a send raw {"x" * size}
                 """,
                     close=False,
                 )
-                conn = next(iter(play.node.http1.connections))
+                conn = next(iter(scenario.node.http1.connections))
                 eventually(partial(bool, conn.buffer))
-                play.run("client a close\ncache expect never_mind w")
+                scenario.run("client a close\ncache expect never_mind w")
 
-    def test_of_a_request_that_crossed_our_end_of_the_reading(self) -> None:
-        play = Scenario()
-        play.run(
+    def test_disconnection_after_the_router_stopped_reading_is_noticed(self) -> None:
+        scenario = Scenario()
+        scenario.run(
             f"""
             client a send GET {TILE}
             cache expect w
@@ -197,37 +197,42 @@
         )
         gate, real = threading.Event(), http1_messages.parse_head
 
-        def slow(raw: bytes, bodyless: bool = False) -> Any:
+        def delayed(raw: bytes, bodyless: bool = False) -> Any:
             gate.wait(5)
             return real(raw, bodyless)
 
-        with unittest.mock.patch.object(http1_connection, "parse_head", slow):
-            play.run(f"client a send GET {TILE}?nth=1\nrouter send TERM", close=False)
-            eventually(lambda: all(conn.reading_ended for conn in play.node.http1.connections))
+        with unittest.mock.patch.object(http1_connection, "parse_head", delayed):
+            scenario.run(f"client a send GET {TILE}?nth=1\nrouter send TERM", close=False)
+            eventually(lambda: all(conn.reading_ended for conn in scenario.node.http1.connections))
             gate.set()
-            play.run("""
+            scenario.run("""
                 cache expect v chunk=1
                 client a close
                 cache expect never_mind v
                 router expect stopped
             """)
 
-    def test_while_the_metadata_of_its_content_was_fetched(self) -> None:
-        """CDNI on HTTP/2 handles a stream on a thread of its own, which looks once more before it sends."""
+    def test_reset_while_cdni_metadata_is_fetched_is_noticed(self) -> None:
+        """CDNI on HTTP/2 handles a stream in its own thread, which checks for a reset before it sends."""
         gate, reached = threading.Event(), threading.Event()
 
-        def slow(self: Delivery, content: Content, url: str, client_ip: str) -> int:
+        def delayed(self: Delivery, content: Content, url: str, client_ip: str) -> int:
             reached.set()
             gate.wait(5)
             return content.group
 
-        with unittest.mock.patch.object(Delivery, "group", slow), site(cdni_listen="127.0.0.1:0") as play:
-            app = App(play.node.http2[1].sock.getsockname())
-            play.apps.append(app)
+        with (
+            unittest.mock.patch.object(Delivery, "group", delayed),
+            site(cdni_listen="127.0.0.1:0") as running_site,
+        ):
+            app = App(running_site.node.http2[1].sock.getsockname())
+            running_site.apps.append(app)
             stream = app.ask("GET", "/content/own/maps/1.png")
             assert reached.wait(5)
             app.reset(stream)
-            counted(play, "http2.reset", 1)
+            wait_for_count(running_site, "http2.reset", 1)
             gate.set()
-            counted(play, "cdni.left", 1)
-            self.assertEqual((play.count("received.map-tiles"), play.member_requests("map-tiles")), (0, 0))
+            wait_for_count(running_site, "cdni.left", 1)
+            self.assertEqual(
+                (running_site.count("received.map-tiles"), running_site.member_requests("map-tiles")), (0, 0)
+            )
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -1,6 +1,6 @@
-"""Closes that cross what the other side sends: an answer is whole, and no request is taken and then dropped.
+"""Connection closes that race with data from the peer: answers are complete, and accepted requests are kept.
 
-Each test forces the order by a gate at the point where two events can cross (docs/crossings.md).
+Each test forces the order of two racing events by a gate at the point of the race (docs/crossings.md).
 """
 
 from __future__ import annotations
@@ -20,53 +20,53 @@
 TILE = "/ops/map-tiles/00000000000000aa"
 
 
-def only(play: Scenario) -> http1_connection.Http1Connection:
-    """The one connection that a client holds."""
-    return next(iter(play.node.http1.connections))
+def only_connection(scenario: Scenario) -> http1_connection.Http1Connection:
+    """Return the only open client connection."""
+    return next(iter(scenario.node.http1.connections))
 
 
-def rest(sock: socket.socket) -> bytes:
-    """All that still comes; ConnectionResetError where the other side's close was over unread bytes."""
-    found = b""
+def read_to_end(sock: socket.socket) -> bytes:
+    """Read to the end of the stream; raise ConnectionResetError if the peer closed with unread bytes."""
+    received = b""
     while data := sock.recv(65536):
-        found += data
-    return found
+        received += data
+    return received
 
 
 @contextmanager
-def before(where: Any, name: str) -> Iterator[tuple[threading.Event, threading.Event]]:
-    """A call that says when it is reached, and goes on when it is let."""
-    reached, gate, real = threading.Event(), threading.Event(), getattr(where, name)
+def paused_before(owner: Any, name: str) -> Iterator[tuple[threading.Event, threading.Event]]:
+    """Pause calls of a function: yields the event that it was reached and the event that lets it continue."""
+    reached, gate, real = threading.Event(), threading.Event(), getattr(owner, name)
 
-    def held(*args: Any, **more: Any) -> Any:
+    def paused_call(*args: Any, **more: Any) -> Any:
         reached.set()
         gate.wait(10)
         return real(*args, **more)
 
-    with unittest.mock.patch.object(where, name, held):
+    with unittest.mock.patch.object(owner, name, paused_call):
         try:
             yield reached, gate
         finally:
             gate.set()
 
 
-class Pipelined(unittest.TestCase):
-    def test_a_request_that_came_with_the_one_before_is_served_however_long_that_one_takes(self) -> None:
-        """Its thread waited for more bytes while the request lay in the buffer, and then dropped it."""
-        looks: list[int] = []
+class PipelinedRequestTest(unittest.TestCase):
+    def test_pipelined_request_is_served_after_a_slow_first_request(self) -> None:
+        """Guards against the connection's thread waiting for more bytes with a request in its buffer."""
+        checks: list[int] = []
         real = http1_connection.Http1Exchange.is_disconnected
 
-        def gone(exchange: http1_connection.Http1Exchange) -> bool:
-            looks.append(1)
+        def count_check(exchange: http1_connection.Http1Exchange) -> bool:
+            checks.append(1)
             return real(exchange)
 
-        play = Scenario()
+        scenario = Scenario()
         head = "GET {}?nth={} HTTP/1.1\\r\\nHost:x\\r\\nReq-Id:00000000000000a{}\\r\\n"
-        both = "".join(head.format(TILE, n, n) + "Req-Wait-Ms:2000\\r\\n\\r\\n" for n in (1, 2))
-        with unittest.mock.patch.object(http1_connection.Http1Exchange, "is_disconnected", gone):
-            play.run(f"client a send raw '{both}'\ncache expect w chunk=1", close=False)
-            eventually(lambda: len(looks) > 3)
-            play.run("""
+        requests = "".join(head.format(TILE, n, n) + "Req-Wait-Ms:2000\\r\\n\\r\\n" for n in (1, 2))
+        with unittest.mock.patch.object(http1_connection.Http1Exchange, "is_disconnected", count_check):
+            scenario.run(f"client a send raw '{requests}'\ncache expect w chunk=1", close=False)
+            eventually(lambda: len(checks) > 3)
+            scenario.run("""
                 cache send w ok - one
                 client a expect 200 body=one
                 cache expect v chunk=2
@@ -75,16 +75,16 @@
             """)
 
 
-class Last(unittest.TestCase):
-    """The last answer of a connection arrives whole, whatever else the client has sent."""
+class LastAnswerTest(unittest.TestCase):
+    """The last answer on a connection arrives completely, even if the client has sent more bytes."""
 
-    def test_an_answer_that_ends_the_connection_with_bytes_unread_behind_its_request(self) -> None:
-        play = Scenario()
+    def test_final_answer_is_complete_although_request_bytes_are_unread(self) -> None:
+        scenario = Scenario()
         sock = socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # most of the answer waits at the router
-        sock.connect(play.node.http1.sock.getsockname())
-        play.clients["a"] = MessageReader(sock)
-        play.run(
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # most of the answer waits in the router
+        sock.connect(scenario.node.http1.sock.getsockname())
+        scenario.clients["a"] = MessageReader(sock)
+        scenario.run(
             f"""
             client a send GET {TILE} Connection:close
             cache expect w
@@ -93,20 +93,20 @@
         """,
             close=False,
         )
-        conn = only(play)
-        # Its thread has come to the end of it: it has closed, or reads on until the answer has arrived.
+        conn = only_connection(scenario)
+        # The thread has sent the answer: it has closed, or reads on until the answer is acknowledged.
         eventually(lambda: conn.sock.fileno() < 0 or getattr(conn, "is_closing", False))
-        found = rest(sock)
-        self.assertEqual(len(found.partition(b"\r\n\r\n")[2]), 200_000)
-        eventually(lambda: not play.node.http1.connections)
-        play.close()
+        received = read_to_end(sock)
+        self.assertEqual(len(received.partition(b"\r\n\r\n")[2]), 200_000)
+        eventually(lambda: not scenario.node.http1.connections)
+        scenario.close()
 
 
-class Crossing(unittest.TestCase):
-    """A request that crosses the end of a resting connection meets an end of the stream, not a reset."""
+class IdleConnectionCloseTest(unittest.TestCase):
+    """A request that races with the close of an idle connection meets an end of stream, not a reset."""
 
-    def cross(self, play: Scenario, end: str) -> None:
-        play.run(
+    def send_during_close(self, scenario: Scenario, cause: str) -> None:
+        scenario.run(
             f"""
             client a send GET {TILE}
             cache expect w
@@ -115,49 +115,49 @@
         """,
             close=False,
         )
-        conn = only(play)
-        with before(http1_connection.Http1Connection, "end") as (reached, gate):
-            if end == "idle":
+        conn = only_connection(scenario)
+        with paused_before(http1_connection.Http1Connection, "end") as (reached, gate):
+            if cause == "idle":
                 conn.expire()
             else:
-                play.run("router send TERM", close=False)
+                scenario.run("router send TERM", close=False)
             assert reached.wait(5)
-            play.run(f"client a send GET {TILE}?nth=1", close=False)
+            scenario.run(f"client a send GET {TILE}?nth=1", close=False)
             gate.set()
-            self.assertEqual(rest(play.clients["a"].sock), b"")  # the client sends it again elsewhere
-        if end == "term":
-            play.run("router expect stopped", close=False)
-        play.run("cache expect nothing 50")
-        self.assertEqual(play.node.core.counters["received.map-tiles"], 1)
+            self.assertEqual(read_to_end(scenario.clients["a"].sock), b"")  # so it may retry elsewhere
+        if cause == "term":
+            scenario.run("router expect stopped", close=False)
+        scenario.run("cache expect nothing 50")
+        self.assertEqual(scenario.node.core.counters["received.map-tiles"], 1)
 
-    def test_of_one_that_was_idle_for_long(self) -> None:
-        self.cross(Scenario(), "idle")
+    def test_request_racing_with_idle_timeout_gets_end_of_stream(self) -> None:
+        self.send_during_close(Scenario(), "idle")
 
-    def test_of_one_that_rested_until_the_router_ended(self) -> None:
-        self.cross(Scenario(), "term")
+    def test_request_racing_with_shutdown_gets_end_of_stream(self) -> None:
+        self.send_during_close(Scenario(), "term")
 
 
-class Accepting(unittest.TestCase):
-    def test_a_connection_that_the_accepting_thread_comes_to_after_the_reading_was_ended(self) -> None:
-        """The thread was held up, by a full table or a busy machine: its client has written its request."""
-        play = Scenario()
-        with before(play.node.http1, "close_overdue") as (reached, gate):
+class LateAcceptTest(unittest.TestCase):
+    def test_connection_accepted_after_reading_stopped_is_served(self) -> None:
+        """A full table or a busy machine may delay the accept until the client has written its request."""
+        scenario = Scenario()
+        with paused_before(scenario.node.http1, "close_overdue") as (reached, gate):
             assert reached.wait(5)
-            play.run(f"client a send GET {TILE}", close=False)
-            done = threading.Event()
-            real = play.node.http1.stop_reading
+            scenario.run(f"client a send GET {TILE}", close=False)
+            reading_stopped = threading.Event()
+            real = scenario.node.http1.stop_reading
 
-            def ended() -> None:
+            def stop_reading() -> None:
                 real()
-                done.set()
+                reading_stopped.set()
 
-            play.node.http1.stop_reading = ended  # type: ignore[method-assign]
-            play.run("router send TERM", close=False)
-            assert done.wait(5)
-            play.stop_thread.join(0.3)
-            self.assertTrue(play.stop_thread.is_alive())
+            scenario.node.http1.stop_reading = stop_reading  # type: ignore[method-assign]
+            scenario.run("router send TERM", close=False)
+            assert reading_stopped.wait(5)
+            scenario.stop_thread.join(0.3)
+            self.assertTrue(scenario.stop_thread.is_alive())
             gate.set()
-            play.run("""
+            scenario.run("""
                 cache expect w
                 cache send w ok - one
                 client a expect 200 Connection:close body=one
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, at members and at the end: the bad order forced each time (docs/crossings.md)."""
+"""Races of two events at members and at shutdown; each test forces the bad order (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from lupintack.peers import connection, connection_pool, resp
 from tests.scenario import Scenario
 from tests.site import eventually
-from tests.test_client_disconnection import counted, late, links, waits
+from tests.test_client_disconnection import delayed_connects, has_waiting_attempts, links, wait_for_count
 
 TILE = "/ops/map-tiles/00000000000000aa"
 ACK = "/ops/alert-ack/00000000000000ac"
 
 
-class MembersCloses(unittest.TestCase):
-    """Written there it would count as run: failed for good where the class may not be repeated."""
+class MemberCloseTest(unittest.TestCase):
+    """A write to a closed connection would count as executed, and fail if the class may not be retried."""
 
-    def test_a_write_that_crosses_the_members_own_close_of_an_idle_connection(self) -> None:
-        self.cross(busy=False)
+    def test_write_racing_with_member_close_of_idle_connection_is_sent_on_another(self) -> None:
+        self.write_during_close(has_open_attempt=False)
 
-    def test_a_write_that_crosses_the_end_of_a_connection_on_which_another_is_out(self) -> None:
-        self.cross(busy=True)
+    def test_write_racing_with_close_of_connection_with_open_attempt_is_sent_on_another(self) -> None:
+        self.write_during_close(has_open_attempt=True)
 
-    def cross(self, busy: bool) -> None:
-        play = Scenario()
-        play.run(
+    def write_during_close(self, has_open_attempt: bool) -> None:
+        scenario = Scenario()
+        scenario.run(
             f"""
             client a send PUT {ACK} body=one
             cache expect w
@@ -37,27 +37,27 @@
         """,
             close=False,
         )
-        conn = next(conn for link in links(play) for conn in link.pool.connections)
+        conn = next(conn for link in links(scenario) for conn in link.pool.connections)
         reached, gate, real = threading.Event(), threading.Event(), resp.Reader.read_more
 
-        def seen_late(reader: resp.Reader) -> None:
+        def delayed_read(reader: resp.Reader) -> None:
             try:
                 real(reader)
             except (resp.EndOfStreamError, OSError):
                 reached.set()
-                gate.wait(10)  # its thread has seen the end, and has not told of it
+                gate.wait(10)  # the thread has read the end of stream, and has not reported it
                 raise
 
-        with unittest.mock.patch.object(resp.Reader, "read_more", seen_late):
-            # The thread waits in the method as it was: one answer that nobody asked for takes it round.
-            play.run("cache send w ok entity=e,issued={now} twice", close=False)
-            if busy:
-                play.run(f"client b send PUT {ACK} body=out\ncache expect u body=out", close=False)
-            play.run("cache close w", close=False)
+        with unittest.mock.patch.object(resp.Reader, "read_more", delayed_read):
+            # The thread waits in the unpatched method: an unexpected answer makes it call the patched one.
+            scenario.run("cache send w ok entity=e,issued={now} twice", close=False)
+            if has_open_attempt:
+                scenario.run(f"client b send PUT {ACK} body=out\ncache expect u body=out", close=False)
+            scenario.run("cache close w", close=False)
             assert conn.sock is not None
             sock = conn.sock
             eventually(lambda: client_liveness.has_closed(sock))
-            play.run(
+            scenario.run(
                 f"""
                 client a send PUT {ACK} body=two
                 cache expect v body=two
@@ -67,55 +67,55 @@
                 close=False,
             )
             gate.set()
-        if busy:
-            play.run("client b expect 502", close=False)
-        play.close()
-        self.assertEqual(play.node.core.counters["ended.served"], 2)
-
-
-class Lists(unittest.TestCase):
-    def test_an_attempt_that_waits_for_an_address_that_becomes_another_member_s(self) -> None:
-        play = Scenario()
-        with late() as gate:
-            play.run(f"client a send GET {TILE} Req-Wait-Ms:3000", close=False)
-            eventually(lambda: waits(play))
-            play.run("board expect watch 1", close=False)
-            # All caches that it could be at move: whoever has the old addresses now is another.
+        if has_open_attempt:
+            scenario.run("client b expect 502", close=False)
+        scenario.close()
+        self.assertEqual(scenario.node.core.counters["ended.served"], 2)
+
+
+class ListChangeTest(unittest.TestCase):
+    def test_waiting_attempt_is_not_sent_to_an_address_reassigned_to_another_member(self) -> None:
+        scenario = Scenario()
+        with delayed_connects() as gate:
+            scenario.run(f"client a send GET {TILE} Req-Wait-Ms:3000", close=False)
+            eventually(lambda: has_waiting_attempts(scenario))
+            scenario.run("board expect watch 1", close=False)
+            # All caches for the attempt change their address: the old ones belong to other members.
             line = '{"host":"%s","dial":"127.0.0.1:1","site":"edge","class":"box"}'
             moved = ",".join(line % name for name in ("s-1", "s-2"))
-            play.run(f'board send {{"rev":2,"pool":{{"seq":2,"hosts":[{moved}]}}}}', close=False)
-            counted(play, "ended.outdated", 1)
+            scenario.run(f'board send {{"rev":2,"pool":{{"seq":2,"hosts":[{moved}]}}}}', close=False)
+            wait_for_count(scenario, "ended.outdated", 1)
             gate.set()
-        play.run("cache expect nothing 50\nclient a expect 50?")
+        scenario.run("cache expect nothing 50\nclient a expect 50?")
 
 
-class BadAnswers(unittest.TestCase):
-    def test_answers_to_no_request_that_go_on_and_on_end_the_connection(self) -> None:
-        play = Scenario()
-        stray = "*4\\r\\n$16\\r\\n00000000000000ff\\r\\n$2\\r\\nok\\r\\n$1\\r\\n-\\r\\n$1\\r\\nx\\r\\n"
-        play.run(
+class BadAnswerTest(unittest.TestCase):
+    def test_too_many_unexpected_answers_close_the_connection(self) -> None:
+        scenario = Scenario()
+        unexpected = "*4\\r\\n$16\\r\\n00000000000000ff\\r\\n$2\\r\\nok\\r\\n$1\\r\\n-\\r\\n$1\\r\\nx\\r\\n"
+        scenario.run(
             f"""
             client a send GET {TILE} Req-Wait-Ms:3000
             cache expect w
-            cache send w raw {stray * (connection.MAX_UNEXPECTED_ANSWERS + 1)}
+            cache send w raw {unexpected * (connection.MAX_UNEXPECTED_ANSWERS + 1)}
             cache expect v
             cache send v ok - good
             client a expect 200 body=good
         """,
             close=False,
         )
-        play.close()
-        self.assertEqual(play.node.core.counters["member.bad_frame"], 1)
+        scenario.close()
+        self.assertEqual(scenario.node.core.counters["member.bad_frame"], 1)
 
-    def test_an_answer_that_drips_on_and_never_ends(self) -> None:
-        """Bytes come before each read is given up; only whole answers count as a member that works."""
-        play = Scenario()
-        over = threading.Event()
+    def test_answer_that_never_completes_fails_the_health_check(self) -> None:
+        """Bytes arrive before each read times out; only complete answers prove that the member works."""
+        scenario = Scenario()
+        stopped = threading.Event()
         with (
             unittest.mock.patch.object(connection_pool, "HEALTH_CHECK_AFTER_US", 100_000),
             unittest.mock.patch.object(connection_pool, "HEALTH_CHECK_TIMEOUT_US", 100_000),
         ):
-            play.run(
+            scenario.run(
                 f"""
                 client a send GET {TILE} Req-Wait-Ms:4000
                 cache expect w
@@ -123,28 +123,28 @@
             """,
                 close=False,
             )
-            sock = play.named_attempts["w"][0]
+            sock = scenario.named_attempts["w"][0]
 
-            def drip() -> None:
+            def send_slowly() -> None:
                 try:
-                    while not over.wait(0.02):
+                    while not stopped.wait(0.02):
                         sock.sendall(b"x")
                 except OSError:
-                    over.set()
+                    stopped.set()
 
-            threading.Thread(target=drip, daemon=True).start()
-            play.run("cache expect there", close=False)
-            counted(play, "member.health_check_failed", 1)
-            play.run("cache expect v\ncache send v ok - good\nclient a expect 200 body=good", close=False)
-            over.set()
-        play.close()
+            threading.Thread(target=send_slowly, daemon=True).start()
+            scenario.run("cache expect there", close=False)
+            wait_for_count(scenario, "member.health_check_failed", 1)
+            scenario.run("cache expect v\ncache send v ok - good\nclient a expect 200 body=good", close=False)
+            stopped.set()
+        scenario.close()
 
 
-class End(unittest.TestCase):
-    def test_a_request_that_is_read_after_open_requests_were_failed(self) -> None:
-        play = Scenario()
-        play.node.core.enqueue(FailOpenRequests())
-        play.run(f"""
+class ShutdownTest(unittest.TestCase):
+    def test_request_read_after_open_requests_were_failed_is_rejected(self) -> None:
+        scenario = Scenario()
+        scenario.node.core.enqueue(FailOpenRequests())
+        scenario.run(f"""
             client a send PUT {ACK} body=late
             client a expect 503
             cache expect nothing 50
--- a/tests/test_request_table.py
+++ b/tests/test_request_table.py
@@ -1,4 +1,4 @@
-"""The table of requests in flight: numbers, wire ids, and when an entry goes."""
+"""The table of requests in flight: numbers, wire ids, and removal of entries."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def client_request(wire_id: str = "a", **changes: Any) -> ClientRequest:
-    known: dict[str, Any] = {"class_index": 0, "item": "x", "object_id": 1, "part": 0, "group": 0}
-    return ClientRequest(wire_id, deadline_us=0, sink=unittest.mock.Mock(), **(known | changes))
+    defaults: dict[str, Any] = {"class_index": 0, "item": "x", "object_id": 1, "part": 0, "group": 0}
+    return ClientRequest(wire_id, deadline_us=0, sink=unittest.mock.Mock(), **(defaults | changes))
 
 
-def test_an_entry_stays_until_it_is_answered_and_has_no_open_attempt_at_a_turn_s_end() -> None:
+def test_entry_is_removed_at_the_end_of_the_turn_once_answered_without_open_attempts() -> None:
     table = RequestTable()
     entry = table.add(client_request(), True)
     entry.open_attempts[0] = unittest.mock.Mock()
@@ -25,12 +25,12 @@
     assert table.get(entry.request.number) is entry and not table.has_unanswered()
     entry.open_attempts.clear()
     table.forget_if_finished(entry)
-    assert table.get(entry.request.number) is entry, "an attempt of this turn may still be numbered"
+    assert table.get(entry.request.number) is entry, "an attempt of this turn may still need a number"
     table.remove_finished()
     assert table.get(entry.request.number) is None and not table.number_by_wire_id
 
 
-def test_a_wire_id_finds_its_latest_request_also_after_the_first_has_gone() -> None:
+def test_wire_id_finds_its_latest_request_after_the_first_is_removed() -> None:
     table = RequestTable()
     first, second = (table.add(client_request(), True) for _ in range(2))
     assert first.request.number != second.request.number
@@ -40,7 +40,7 @@
     assert table.find_by_wire_id("a") is second and table.find_by_wire_id("b") is None
 
 
-def test_requests_are_the_same_by_what_they_ask_for_and_their_key() -> None:
+def test_requests_are_the_same_if_object_part_and_key_are_equal() -> None:
     request = client_request("a", idempotency_key="k")
     assert is_same_request(request, client_request("b", idempotency_key="k"))
     for change in ({"class_index": 1}, {"item": "y"}, {"part": 1}, {"group": 1}, {"idempotency_key": "l"}):
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The core's timers: their order, and what is due."""
+"""The core's timers: order and due times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lupintack.core.timers import TimerKind, TimerQueue
 
 
-def test_nothing_is_due_before_its_time() -> None:
+def test_timer_is_not_due_before_its_time() -> None:
     timers = TimerQueue()
     assert not timers.is_due(10) and timers.pop_due(10) is None
     timers.set(10, TimerKind.ROUTER, 7)
@@ -20,11 +20,11 @@
 
 
 @given(st.lists(st.integers(0, 5)))
-def test_timers_come_by_time_and_then_in_the_order_in_which_they_were_set(times: list[int]) -> None:
+def test_timers_are_popped_by_time_then_in_the_order_they_were_set(times: list[int]) -> None:
     timers = TimerQueue()
     for token, at_us in enumerate(times):
         timers.set(at_us, TimerKind.REQUEST_DEADLINE, token)
-    found = []
+    popped = []
     while (timer := timers.pop_due(5)) is not None:
-        found.append((timer.at_us, timer.token))
-    assert found == sorted((at_us, token) for token, at_us in enumerate(times))
+        popped.append((timer.at_us, timer.token))
+    assert popped == sorted((at_us, token) for token, at_us in enumerate(times))
