--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Writes with a key: each attempt in the archive's window, none after it where one may have run."""
+"""Writes with an idempotency key: no attempt after the deduplication window where one may have run."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def window(ms: float, **limits: Any) -> dict[str, Any]:
-    """The second deployment, with another window."""
+def settings_with_window(window_ms: float, **limits: Any) -> dict[str, Any]:
+    """Return the second deployment's settings with another deduplication window."""
     base = deployment.SECOND
     return base | {
-        "services": [*deployment.BOARDS[:2], deployment.BOARDS[2] | {"dedup-window": ms}],
+        "services": [*deployment.BOARDS[:2], deployment.BOARDS[2] | {"dedup-window": window_ms}],
         "limits": base["limits"] | limits,
     }
 
 
-class Window(unittest.TestCase):
-    """Through the whole program."""
+class DeduplicationWindowTest(unittest.TestCase):
+    """Tests through a whole router."""
 
     def test_lost_answers_within_the_deduplication_window_are_retried(self) -> None:
         for wait in ("0", "300"):
-            Scenario(settings=window(800.0)).run(f"""
+            Scenario(settings=settings_with_window(800.0)).run(f"""
                 client a send PUT {POST} Req-Token:{KEY} Req-Wait-Ms:3000 body=x
                 cache expect w nonce={KEY}
                 wait {wait}
@@ -53,8 +53,8 @@
             """)
 
     def test_an_answer_lost_after_the_window_is_rejected_and_the_client_may_retry(self) -> None:
-        """The group is all caches, so a refusal is allowed: the client knows its own window."""
-        Scenario(settings=window(200.0)).run(f"""
+        """The scope is all caches, so a rejection is allowed: the client keeps its own window."""
+        Scenario(settings=settings_with_window(200.0)).run(f"""
             client a send PUT {POST} Req-Token:{KEY} Req-Wait-Ms:3000 body=x
             cache expect w
             wait 250
@@ -63,13 +63,13 @@
             cache expect nothing 50
         """)
 
-    def test_a_client_retry_is_sent_beside_the_routers_retry_but_not_after_the_window(self) -> None:
-        play = Scenario(settings=window(700.0))
-        sent: list[int] = []
-        play.node.core.trace = lambda now, events, actions: sent.extend(
-            one.first_attempt_member for one in events if isinstance(one, i.Request)
+    def test_client_retry_is_sent_within_the_window_but_not_after_it(self) -> None:
+        scenario = Scenario(settings=settings_with_window(700.0))
+        first_members: list[int] = []
+        scenario.node.core.trace = lambda now, events, actions: first_members.extend(
+            event.first_attempt_member for event in events if isinstance(event, i.Request)
         )
-        play.run(f"""
+        scenario.run(f"""
             client a send PUT {POST} Req-Token:{KEY} Req-Wait-Ms:3000 body=x
             cache expect w nonce={KEY}
             client b send PUT {POST} Req-Token:{KEY} Req-Wait-Ms:3000 body=x
@@ -81,10 +81,10 @@
             client c expect 503
             cache expect nothing 50
         """)
-        self.assertEqual([member != 0 for member in sent], [False, True, True])
+        self.assertEqual([member != 0 for member in first_members], [False, True, True])
 
-    def test_an_attempt_proved_without_effect_opens_no_window(self) -> None:
-        Scenario(settings=window(200.0, **{"try-limit": 1})).run(f"""
+    def test_attempt_without_effect_starts_no_window(self) -> None:
+        Scenario(settings=settings_with_window(200.0, **{"try-limit": 1})).run(f"""
             client a send PUT {POST} Req-Token:{KEY} body=x
             cache expect w
             cache send w refused
@@ -96,9 +96,9 @@
             client a expect 200
         """)
 
-    def test_without_cancellation_a_member_gets_the_limit_and_nothing_more(self) -> None:
+    def test_without_cancellation_a_member_receives_the_limit_and_no_cancel(self) -> None:
         media = "/ops/media/00000000000000ae"
-        Scenario(settings=window(200.0, cancelling=False)).run(f"""
+        Scenario(settings=settings_with_window(200.0, cancelling=False)).run(f"""
             client a send GET {media} Req-Wait-Ms:300
             cache expect w limit=2??
             client a expect 50?
@@ -106,15 +106,15 @@
         """)
 
 
-class There(unittest.TestCase):
-    """Probes of a silent connection."""
+class HealthCheckTest(unittest.TestCase):
+    """Health checks of a silent connection."""
 
     def test_negative_repeated_and_late_health_answers_are_not_bad_frames(self) -> None:
         with unittest.mock.patch.multiple(
             connection_pool, HEALTH_CHECK_AFTER_US=100_000, HEALTH_CHECK_TIMEOUT_US=500_000
         ):
-            play = Scenario(settings=deployment.SECOND)
-            play.run("""
+            scenario = Scenario(settings=deployment.SECOND)
+            scenario.run("""
                 client a send GET /ops/media/00000000000000aa Req-Wait-Ms:5000
                 cache expect w
                 cache expect there no - ''
@@ -122,12 +122,12 @@
                 cache send w ok - slow
                 client a expect 200 body=slow
             """)
-        self.assertEqual(play.node.core.counters["ended.bad_frame"], 0)
-        self.assertEqual(play.node.core.counters["ended.health_check_failed"], 0)
+        self.assertEqual(scenario.node.core.counters["ended.bad_frame"], 0)
+        self.assertEqual(scenario.node.core.counters["ended.health_check_failed"], 0)
 
 
 @pytest.mark.parametrize("group", ["all", "zone", "cell"])
-def test_an_earlier_request_s_attempt_binds_group_and_window(group: str) -> None:
+def test_attempt_of_an_earlier_request_restricts_scope_and_window(group: str) -> None:
     cls = i.ServiceClass(
         name="c",
         latency_objective_ms=500.0,
@@ -136,18 +136,20 @@
         deduplication_scope=group,
         deduplication_window_ms=1000.0,
     )
-    for member, at, allowed in (
+    for member, first_attempt_ms, allowed in (
         (h.CACHES[0], 600.0, True),
         (h.CACHES[0], -1.0, False),
         (999, 600.0, group == "all"),
     ):
-        made = h.router(classes=(cls,))
-        request = h.ask(1, cls=0, now=1000.0, size_kb=0.0, first_attempt_ms=at, first_attempt_member=member)
-        actions = made.handle(1000.0, [request])
-        sent = h.fetches(actions)
-        assert bool(sent) == allowed, (group, member, at)
-        for one in sent:
-            assert group != "cell" or one.member % 2 == member % 2
+        router = h.router(classes=(cls,))
+        request = h.ask(
+            1, cls=0, now=1000.0, size_kb=0.0, first_attempt_ms=first_attempt_ms, first_attempt_member=member
+        )
+        actions = router.handle(1000.0, [request])
+        fetches = h.fetches(actions)
+        assert bool(fetches) == allowed, (group, member, first_attempt_ms)
+        for fetch in fetches:
+            assert group != "cell" or fetch.member % 2 == member % 2
         if not allowed:
             assert isinstance(h.finals(actions)[0], i.Reject if group == "all" else i.Fail)
 
@@ -159,38 +161,38 @@
         request=request, number=0, member=11, source=0, class_name="post", source_name="",
         retention_priority=0, max_age_ms=0.0,
         coalesce=False, revalidate=False, only_if_cached=False, decided_us=now_us(), purges_known=0,
-        is_outdated=lambda one: False,
+        is_outdated=lambda attempt: False,
     )  # fmt: skip
     return Attempt(**(values | changes))
 
 
-def peer(reported: list[AttemptResult]) -> Peer:
-    """A member whose connection never comes up by itself: what is sent to it waits."""
-    made = Peer("s-1", ("127.0.0.1", 1), PeerConfig(32, 400_000, 15_000_000, ()), reported.append,
+def unconnected_peer(reported: list[AttemptResult]) -> Peer:
+    """Return a peer that never connects by itself, so that attempts sent to it wait."""
+    peer = Peer("s-1", ("127.0.0.1", 1), PeerConfig(32, 400_000, 15_000_000, ()), reported.append,
                       lambda run, name: None)  # fmt: skip
-    return made
+    return peer
 
 
-def test_an_attempt_that_waited_past_the_window_is_not_written() -> None:
+def test_attempt_waiting_past_the_window_is_not_written() -> None:
     reported: list[AttemptResult] = []
-    one = peer(reported)
-    one.send(make_attempt(not_after_us=now_us() + 10_000_000))
-    assert not reported and len(one.waiting_attempts) == 1
-    one.waiting_attempts[0].not_after_us = now_us() - 1
-    one.enqueue(SlotReleased())
-    assert [end.status for end in reported] == [AttemptStatus.OUTDATED] and not one.waiting_attempts
+    peer = unconnected_peer(reported)
+    peer.send(make_attempt(not_after_us=now_us() + 10_000_000))
+    assert not reported and len(peer.waiting_attempts) == 1
+    peer.waiting_attempts[0].not_after_us = now_us() - 1
+    peer.enqueue(SlotReleased())
+    assert [result.status for result in reported] == [AttemptStatus.OUTDATED] and not peer.waiting_attempts
 
 
-def test_a_cancelled_attempt_s_end_is_reported_once_after_the_member_was_notified() -> None:
+def test_end_of_cancelled_attempt_is_reported_once_after_notifying_the_member() -> None:
     reported: list[AttemptResult] = []
-    one = peer(reported)
-    waiting, silent = make_attempt(), make_attempt()
-    one.send(waiting)
-    one.cancel(waiting, notify=True)
-    assert [(end.attempt, end.status) for end in reported] == [
+    peer = unconnected_peer(reported)
+    waiting, unanswered = make_attempt(), make_attempt()
+    peer.send(waiting)
+    peer.cancel(waiting, notify=True)
+    assert [(result.attempt, result.status) for result in reported] == [
         (waiting, AttemptStatus.OUTDATED)
     ]  # no byte was written
-    conn = Connection(one)
+    conn = Connection(peer)
     written: list[bytes] = []
 
     def write(data: bytes) -> bool:
@@ -198,18 +200,18 @@
         return True
 
     conn.send = write  # type: ignore[method-assign]
-    one.pool.connections.append(conn)
-    conn.open_attempts[silent.request.wire_id] = silent
-    one.cancel(silent, notify=True)
+    peer.pool.connections.append(conn)
+    conn.open_attempts[unanswered.request.wire_id] = unanswered
+    peer.cancel(unanswered, notify=True)
     assert reported[-1].status is AttemptStatus.CANCELLED and b"never_mind" in written[0]
-    one.cancel(silent, notify=True)  # it has ended, and its end was reported
-    conn.open_attempts[silent.request.wire_id] = silent
-    one.cancel(silent)
+    peer.cancel(unanswered, notify=True)  # already ended and reported
+    conn.open_attempts[unanswered.request.wire_id] = unanswered
+    peer.cancel(unanswered)
     assert len(reported) == 2
 
 
-def test_the_router_receives_a_cancelled_attempt_s_end_after_the_member_was_notified() -> None:
-    """Else another one could be out beside it, where that is barred."""
+def test_router_receives_end_of_cancelled_attempt_after_member_is_notified() -> None:
+    """Otherwise another attempt could run concurrently with it, where hedging is not allowed."""
     link = unittest.mock.Mock()
     member_table = MemberTable(6000.0)
     core = Core(h.settings(allows_hedging=False), 7, member_table, lambda number, host: link)
@@ -218,19 +220,19 @@
     core.intake.accept(request)
     core.member_links.endpoints[11] = Endpoint("s-1", ("127.0.0.1", 1))
     core.perform(i.Fetch(request.number, 11, 21))
-    out = core.requests_in_flight[request.number].open_attempts[0]
+    attempt = core.requests_in_flight[request.number].open_attempts[0]
     core.perform(i.Cancel(request.number, 0))
-    link.cancel.assert_called_once_with(out, notify=True)
+    link.cancel.assert_called_once_with(attempt, notify=True)
     assert core.requests_in_flight[request.number].open_attempts and not core.mailbox.deferred_events
-    reported: list[i.Event] = []
-    core.results.on_result(AttemptResult(out, AttemptStatus.CANCELLED), reported)
+    events: list[i.Event] = []
+    core.results.on_result(AttemptResult(attempt, AttemptStatus.CANCELLED), events)
     assert not core.requests_in_flight[request.number].open_attempts
-    assert [e.outcome for e in reported if isinstance(e, i.AttemptEnded)] == [i.Outcome.CANCELLED]
+    assert [e.outcome for e in events if isinstance(e, i.AttemptEnded)] == [i.Outcome.CANCELLED]
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_an_attempt_carries_the_client_s_full_wait_and_ends_with_it(cancelling: bool) -> None:
-    """No limit of its own: past it the member would still be at work, and nothing would prove its end."""
+def test_attempt_limit_is_the_remaining_wait_of_the_client(cancelling: bool) -> None:
+    """A shorter limit for the attempt would not prove its end: the member might still be working past it."""
     link = unittest.mock.Mock()
     settings = h.settings(allows_cancellation=cancelling, allows_hedging=False)
     core = Core(settings, 7, MemberTable(6000.0), lambda number, host: link)
@@ -239,16 +241,16 @@
     core.intake.accept(request)
     core.member_links.endpoints[11] = Endpoint("s-1", ("127.0.0.1", 1))
     core.perform(i.Fetch(request.number, 11, 21))
-    out = core.requests_in_flight[request.number].open_attempts[0]
-    assert b"limit=9999\r\n" in platform_wire.encode_attempt(out, request.deadline_us - 9_999_000)
-    reported: list[i.Event] = []
+    attempt = core.requests_in_flight[request.number].open_attempts[0]
+    assert b"limit=9999\r\n" in platform_wire.encode_attempt(attempt, request.deadline_us - 9_999_000)
+    events: list[i.Event] = []
     core.state.now_us = request.deadline_us - 1
-    core.fire_due_timers(reported)
+    core.fire_due_timers(events)
     assert (
-        not [e for e in reported if isinstance(e, i.AttemptEnded)]
-        and out in core.requests_in_flight[request.number].open_attempts.values()
+        not [e for e in events if isinstance(e, i.AttemptEnded)]
+        and attempt in core.requests_in_flight[request.number].open_attempts.values()
     )
     core.state.now_us = request.deadline_us
-    core.fire_due_timers(reported)
-    assert [e.outcome for e in reported if isinstance(e, i.AttemptEnded)] == [i.Outcome.TIMEOUT]
-    link.cancel.assert_called_once_with(out)
+    core.fire_due_timers(events)
+    assert [e.outcome for e in events if isinstance(e, i.AttemptEnded)] == [i.Outcome.TIMEOUT]
+    link.cancel.assert_called_once_with(attempt)
