--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings while the router runs: whole or not at all, and never under a request's feet."""
+"""Reload of settings in a running router: applied completely or not at all, without harm to open requests."""
 
 from __future__ import annotations
 
@@ -36,36 +36,38 @@
 Data = dict[str, Any]
 
 
-def hup(
-    play: Scenario, tmp: Path, change: Callable[[Data], object] = lambda data: None, raw: str = ""
+def reload(
+    scenario: Scenario, folder: Path, change: Callable[[Data], object] = lambda data: None, raw: str = ""
 ) -> None:
-    data = copy.deepcopy(play.data)
+    data = copy.deepcopy(scenario.data)
     change(data)
-    file = tmp / "config.json"
+    file = folder / "config.json"
     file.write_text(raw or json.dumps(data))
-    play.node.reload({"EDGE_CONFIG": str(file)})
-    applied = threading.Event()  # the core's turn may be on another thread: until it has come, the old holds
-    play.node.core.enqueue(SettingsUpdate(on_applied=lambda numbers: applied.set()))
+    scenario.node.reload({"EDGE_CONFIG": str(file)})
+    applied = threading.Event()  # the core may apply the file later, on another thread
+    scenario.node.core.enqueue(SettingsUpdate(on_applied=lambda numbers: applied.set()))
     assert applied.wait(5.0)
 
 
 def services(data: Data) -> list[Data]:
-    found: list[Data] = data["settings"]["services"]
-    return found
+    entries: list[Data] = data["settings"]["services"]
+    return entries
 
 
-def without(name: str) -> Callable[[Data], None]:
+def removing_class(name: str) -> Callable[[Data], None]:
     def change(data: Data) -> None:
-        data["settings"]["services"] = [one for one in services(data) if one["name"] != name]
+        data["settings"]["services"] = [entry for entry in services(data) if entry["name"] != name]
 
     return change
 
 
-def test_classes_come_go_and_change(tmp_path: Path) -> None:
-    play = Scenario()
-    play.run("client a send GET /ops/new/00000000000000aa\nclient a expect 404", close=False)
-    hup(play, tmp_path, lambda d: services(d).append({**services(d)[1], "name": "new", "deadline": 900.0}))
-    play.run(
+def test_classes_are_added_removed_and_changed(tmp_path: Path) -> None:
+    scenario = Scenario()
+    scenario.run("client a send GET /ops/new/00000000000000aa\nclient a expect 404", close=False)
+    reload(
+        scenario, tmp_path, lambda d: services(d).append({**services(d)[1], "name": "new", "deadline": 900.0})
+    )
+    scenario.run(
         """
         client b send GET /ops/new/00000000000000aa
         cache expect w cls=new
@@ -74,8 +76,8 @@
         """,
         close=False,
     )
-    hup(play, tmp_path, without("map-tiles"))
-    play.run(
+    reload(scenario, tmp_path, removing_class("map-tiles"))
+    scenario.run(
         f"""
         client c send GET {TILE}
         client c expect 404
@@ -87,19 +89,19 @@
         client e expect 200 body=two
         """
     )
-    assert play.node.core.counters["reload.taken"] == 2
+    assert scenario.node.core.counters["reload.taken"] == 2
 
 
-def test_what_is_under_way_keeps_its_class_when_that_goes_and_another_comes(tmp_path: Path) -> None:
-    play = Scenario()
-    play.run(f"client a send GET {TILE} Req-Wait-Ms:2000\ncache expect w cls=map-tiles", close=False)
+def test_open_request_keeps_its_class_when_it_is_removed_and_another_added(tmp_path: Path) -> None:
+    scenario = Scenario()
+    scenario.run(f"client a send GET {TILE} Req-Wait-Ms:2000\ncache expect w cls=map-tiles", close=False)
 
     def change(data: Data) -> None:
-        without("map-tiles")(data)
+        removing_class("map-tiles")(data)
         services(data).insert(0, {**services(data)[0], "name": "other", "repeat": "single_shot"})
 
-    hup(play, tmp_path, change)
-    play.run(
+    reload(scenario, tmp_path, change)
+    scenario.run(
         """
         client b send GET /ops/other/00000000000000bb
         cache expect v cls=other
@@ -113,21 +115,21 @@
     )
 
 
-@pytest.mark.parametrize("effect", ["free", "guarded", "single_shot"])
-def test_an_alert_ack_under_way_never_runs_twice_whatever_its_class_becomes(
-    effect: str, tmp_path: Path
-) -> None:
-    play = Scenario()
+@pytest.mark.parametrize("repeat", ["free", "guarded", "single_shot"])
+def test_open_alert_ack_is_not_retried_after_its_class_changes(repeat: str, tmp_path: Path) -> None:
+    scenario = Scenario()
     ack = "/ops/alert-ack/00000000000000ac"
-    play.run(f"client a send PUT {ack} body=x Req-Wait-Ms:1000\ncache expect w cls=alert-ack", close=False)
-    hup(play, tmp_path, lambda d: services(d)[2].update(repeat=effect))
-    play.run("cache close w\nclient a expect 502\ncache expect nothing 100")
+    scenario.run(
+        f"client a send PUT {ack} body=x Req-Wait-Ms:1000\ncache expect w cls=alert-ack", close=False
+    )
+    reload(scenario, tmp_path, lambda d: services(d)[2].update(repeat=repeat))
+    scenario.run("cache close w\nclient a expect 502\ncache expect nothing 100")
 
 
-def test_a_stricter_effect_binds_new_requests(tmp_path: Path) -> None:
-    play = Scenario()
-    hup(play, tmp_path, lambda d: services(d)[1].update(repeat="single_shot"))
-    play.run(
+def test_stricter_repeat_setting_applies_to_new_requests(tmp_path: Path) -> None:
+    scenario = Scenario()
+    reload(scenario, tmp_path, lambda d: services(d)[1].update(repeat="single_shot"))
+    scenario.run(
         f"""
         client a send GET {TILE}
         cache expect w
@@ -138,32 +140,34 @@
     )
 
 
-def broken(what: str) -> Callable[[Data], object]:
-    """A file with one fault, and the board elsewhere."""
+def invalid_file(fault: str) -> Callable[[Data], object]:
+    """Return a change that puts one fault into a file, and moves the discovery address."""
 
     def change(data: Data) -> None:
-        told = data["settings"]
+        settings_data = data["settings"]
         data["board"] = "127.0.0.1:9"
-        one = services(data)[1]
-        if what in ("deadline", "name"):
-            one.pop(what)
-        elif what in ("board", "limits", "settings"):
-            data.pop(what)
-        elif what in ("rules", "services"):
-            told.pop(what)
-        elif what == "try-limit":
-            told["limits"].pop(what)
-        elif what == "twice":
-            services(data).append(dict(one))
+        entry = services(data)[1]
+        if fault in ("deadline", "name"):
+            entry.pop(fault)
+        elif fault in ("board", "limits", "settings"):
+            data.pop(fault)
+        elif fault in ("rules", "services"):
+            settings_data.pop(fault)
+        elif fault == "try-limit":
+            settings_data["limits"].pop(fault)
+        elif fault == "twice":
+            services(data).append(dict(entry))
         else:
-            key, _, value = what.partition("=")
-            {"services": told, "try-limit": told["limits"]}.get(key, one)[key] = json.loads(value)
+            key, _, value = fault.partition("=")
+            {"services": settings_data, "try-limit": settings_data["limits"]}.get(key, entry)[key] = (
+                json.loads(value)
+            )
 
     return change
 
 
 @pytest.mark.parametrize(
-    ("what", "told"),
+    ("fault", "expected_text"),
     [
         ("deadline=0", "deadline"), ("deadline=-5.0", "-5.0"), ("deadline=NaN", "nan"),
         ('deadline="long"', "'long'"), ("deadline", "services[1].deadline"), ("name", "services[1].name"),
@@ -173,39 +177,43 @@
         ('repeat="sometimes"', "'sometimes'"),
     ],
 )  # fmt: skip
-def test_a_broken_file_changes_nothing_and_is_one_line(
-    what: str, told: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
+def test_invalid_file_changes_nothing_and_logs_one_error(
+    fault: str, expected_text: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    play = Scenario()
-    before, board, classes = play.node.core.settings, play.node.discovery.address, play.node.platform.classes
+    scenario = Scenario()
+    previous, address, classes = (
+        scenario.node.core.settings,
+        scenario.node.discovery.address,
+        scenario.node.platform.classes,
+    )
     with caplog.at_level(logging.INFO):
-        hup(play, tmp_path, broken(what))
+        reload(scenario, tmp_path, invalid_file(fault))
     lines = [r for r in caplog.records if r.levelno >= logging.ERROR]
-    assert len(lines) == 1 and told in str(lines[0].__dict__), lines[0].__dict__
-    assert play.node.core.settings is before and play.node.platform.classes is classes
-    assert play.node.discovery.address == board
-    assert play.node.core.counters["reload.refused"] == 1
-    play.run(f"client a send GET {TILE}\ncache expect w\ncache send w ok - one\nclient a expect 200")
+    assert len(lines) == 1 and expected_text in str(lines[0].__dict__), lines[0].__dict__
+    assert scenario.node.core.settings is previous and scenario.node.platform.classes is classes
+    assert scenario.node.discovery.address == address
+    assert scenario.node.core.counters["reload.refused"] == 1
+    scenario.run(f"client a send GET {TILE}\ncache expect w\ncache send w ok - one\nclient a expect 200")
 
 
 @pytest.mark.parametrize("part", [0.0, 0.3, 0.999])
-def test_a_file_cut_short_changes_nothing(part: float, tmp_path: Path) -> None:
-    play = Scenario()
-    whole = json.dumps(play.data)
-    hup(play, tmp_path, raw=whole[: int(len(whole) * part)] or " ")
-    assert play.node.core.counters["reload.refused"] == 1
-    play.close()
+def test_truncated_file_changes_nothing(part: float, tmp_path: Path) -> None:
+    scenario = Scenario()
+    whole = json.dumps(scenario.data)
+    reload(scenario, tmp_path, raw=whole[: int(len(whole) * part)] or " ")
+    assert scenario.node.core.counters["reload.refused"] == 1
+    scenario.close()
 
 
-def test_good_and_bad_files_in_quick_succession_under_load(tmp_path: Path) -> None:
-    """Requests go on all the while, each with one answer, and the last good file is what holds."""
-    play = Scenario()
-    over = threading.Event()
+def test_valid_and_invalid_files_in_quick_succession_under_load(tmp_path: Path) -> None:
+    """Every request gets one answer throughout, and the last valid file is in force at the end."""
+    scenario = Scenario()
+    stopped = threading.Event()
 
-    def answers() -> None:
-        while not over.is_set():
+    def answer_requests() -> None:
+        while not stopped.is_set():
             try:
-                _, sock, parts = play.member_messages.get(timeout=0.05)
+                _, sock, parts = scenario.member_messages.get(timeout=0.05)
             except Exception:
                 continue
             fields = f"entity=t0,issued={int(time.time() * 1000)}"
@@ -214,27 +222,30 @@
             except OSError:
                 return
 
-    thread = threading.Thread(target=answers)
+    thread = threading.Thread(target=answer_requests)
     thread.start()
     try:
         for n in range(20):
             if n % 2:
-                hup(play, tmp_path, broken("deadline"))
+                reload(scenario, tmp_path, invalid_file("deadline"))
             elif n % 4:
-                hup(play, tmp_path, without("river-video"))
+                reload(scenario, tmp_path, removing_class("river-video"))
             else:
-                hup(play, tmp_path, lambda d: services(d).reverse())
-            play.run(f"client a send GET {TILE}?nth={n}\nclient a expect 200 body=x", close=False)
+                reload(scenario, tmp_path, lambda d: services(d).reverse())
+            scenario.run(f"client a send GET {TILE}?nth={n}\nclient a expect 200 body=x", close=False)
     finally:
-        over.set()
+        stopped.set()
         thread.join()
-    assert set(play.node.platform.classes) == {"map-tiles", "alert-ack"}
-    assert (play.node.core.counters["reload.taken"], play.node.core.counters["reload.refused"]) == (10, 10)
-    assert len(play.node.core.settings.classes) == 3  # no number was made for what was there before
-    play.close()
+    assert set(scenario.node.platform.classes) == {"map-tiles", "alert-ack"}
+    assert (scenario.node.core.counters["reload.taken"], scenario.node.core.counters["reload.refused"]) == (
+        10,
+        10,
+    )
+    assert len(scenario.node.core.settings.classes) == 3  # returning classes keep their index
+    scenario.close()
 
 
-def test_missing_passes_over_what_only_some_classes_have() -> None:
+def test_missing_ignores_keys_that_only_some_classes_have() -> None:
     before = {"services": [{"name": "a", "aim": 1}, {"name": "b"}], "x": {"y": 1}}
     assert missing(before, {"services": [{"name": "c"}], "x": {"y": 2}, "z": 0}) == ""
     assert missing(before, {"services": [{"aim": 1}], "x": {"y": 2}}) == "services[0].name"
@@ -245,39 +256,41 @@
 
 
 @given(st.lists(st.tuples(CLASSES, st.sets(st.integers(0, 12)))))
-def test_a_number_never_changes_its_meaning_while_it_is_used(steps: list[tuple[list[str], set[int]]]) -> None:
-    held: tuple[ServiceClass, ...] = ()
-    for names, open_ in steps:
-        used = {n for n in open_ if n < len(held)}
-        new = numbered(held, tuple(ServiceClass(name=n) for n in names), used)
+def test_class_index_keeps_its_class_while_it_is_in_use(reloads: list[tuple[list[str], set[int]]]) -> None:
+    previous: tuple[ServiceClass, ...] = ()
+    for names, open_indexes in reloads:
+        used = {n for n in open_indexes if n < len(previous)}
+        new = numbered(previous, tuple(ServiceClass(name=n) for n in names), used)
         assert len({c.name for c in new}) == len(new)
         assert set(names) <= {c.name for c in new}
-        for n, old in enumerate(held):
+        for n, old in enumerate(previous):
             if n in used or old.name in names:
                 assert new[n].name == old.name
-        assert len(new) <= max(len(held), len(names) + len(used), 6)
-        held = new
+        assert len(new) <= max(len(previous), len(names) + len(used), 6)
+        previous = new
 
 
-def test_fewer_attempts_bind_at_once_and_more_only_new_requests() -> None:
-    for first, then, want in ((3, 1, 1), (1, 3, 1), (3, 3, 2)):
-        router = Router(settings(max_attempts=first), 7)
+def test_lower_attempt_limit_applies_immediately_and_higher_one_to_new_requests() -> None:
+    for initial, reloaded, expected in ((3, 1, 1), (1, 3, 1), (3, 3, 2)):
+        router = Router(settings(max_attempts=initial), 7)
         router.handle(0.0, [MemberList(ListKind.FULL, tuple(member(n) for n in CACHES))])
         sent = [a for a in router.handle(1.0, [Request(1, 0, 5, 3000.0)]) if isinstance(a, Fetch)]
-        router.apply_settings(settings(max_attempts=then))
+        router.apply_settings(settings(max_attempts=reloaded))
         ended = AttemptEnded(1, 0, sent[0].member, Outcome.RESET, 10.0, False)
         sent += [a for a in router.handle(20.0, [ended]) if isinstance(a, Fetch)]
-        assert len(sent) == want, (first, then)
+        assert len(sent) == expected, (initial, reloaded)
 
 
-def test_what_was_learned_of_a_class_stays_with_its_name() -> None:
-    one, two = (
+def test_learned_times_of_a_class_stay_with_its_name() -> None:
+    first, second = (
         ServiceClass(name="a", latency_objective_ms=100.0),
         ServiceClass(name="b", latency_objective_ms=200.0),
     )
-    router = Router(Settings(classes=(one, two)), 7)
+    router = Router(Settings(classes=(first, second)), 7)
     router.transfer_times.record(0, 30.0, True)
-    router.apply_settings(Settings(classes=(one, ServiceClass(name="c", latency_objective_ms=400.0), two)))
+    router.apply_settings(
+        Settings(classes=(first, ServiceClass(name="c", latency_objective_ms=400.0), second))
+    )
     assert router.transfer_times.answer_ms == [
         30.0,
         400.0,
--- a/tests/test_without_cancellation.py
+++ b/tests/test_without_cancellation.py
@@ -1,7 +1,7 @@
-"""Where neither a second copy nor a cancel is allowed, an attempt is out until its end is proved.
+"""Where neither hedging nor cancelling is allowed, an attempt counts as open until its end is proved.
 
-Proofs are an answer, written whole, and the end of its connection. Its `limit` is none: past that its member
-may still be at work (docs/protocol.md).
+Proofs are a complete answer and the end of its connection. The attempt's `limit` is no proof: the member may
+still be working after it (docs/protocol.md).
 """
 
 from __future__ import annotations
@@ -33,39 +33,39 @@
 from tests.test_idempotency_keys import make_attempt
 
 PAGE = "/ops/pages/00000000000000ad"
-PAST_SOFT_MS = int(3 * MIN_OVERDUE_MS)  # an attempt for a page is long overdue then
+LONG_OVERDUE_MS = int(3 * MIN_OVERDUE_MS)  # an attempt for a page is long overdue after this
 
 
-def neither(**limits: Any) -> dict[str, Any]:
-    """The second deployment, with both barred."""
-    barred = {"second-copies": False, "cancelling": False, "try-limit": 6}
-    return deployment.SECOND | {"limits": deployment.SECOND["limits"] | barred | limits}
+def without_hedging_or_cancelling(**limits: Any) -> dict[str, Any]:
+    """Return the second deployment's settings, with hedging and cancelling not allowed."""
+    restrictions = {"second-copies": False, "cancelling": False, "try-limit": 6}
+    return deployment.SECOND | {"limits": deployment.SECOND["limits"] | restrictions | limits}
 
 
 @pytest.fixture
-def quick_silence() -> Iterator[None]:
-    """A connection that says nothing is ended sooner."""
+def short_health_check_times() -> Iterator[None]:
+    """Shorten the health check times, so that a silent connection is closed sooner."""
     with unittest.mock.patch.multiple(
         connection_pool, HEALTH_CHECK_AFTER_US=300_000, HEALTH_CHECK_TIMEOUT_US=300_000
     ):
         yield
 
 
-def test_an_overdue_answer_is_taken_and_nothing_goes_out_beside_it() -> None:
-    play = Scenario(settings=neither())
-    play.run(f"""
+def test_overdue_answer_is_served_and_no_other_attempt_is_sent() -> None:
+    scenario = Scenario(settings=without_hedging_or_cancelling())
+    scenario.run(f"""
         client a send GET {PAGE} Req-Wait-Ms:5000
         cache expect w limit=4???
         cache expect there yes - ''
-        wait {PAST_SOFT_MS}
+        wait {LONG_OVERDUE_MS}
         cache send w ok - late
         client a expect 200 body=late
     """)
-    assert play.node.core.counters["sent.pages"] == 1
+    assert scenario.node.core.counters["sent.pages"] == 1
 
 
-def test_an_error_past_the_soft_limit_lets_another_attempt_out() -> None:
-    Scenario(settings=neither()).run(f"""
+def test_error_after_the_overdue_limit_allows_another_attempt() -> None:
+    Scenario(settings=without_hedging_or_cancelling()).run(f"""
         client a send GET {PAGE} Req-Wait-Ms:5000
         cache expect w
         wait {int(MIN_OVERDUE_MS)}
@@ -76,8 +76,8 @@
     """)
 
 
-def test_the_end_of_its_connection_lets_another_attempt_out() -> None:
-    Scenario(settings=neither()).run(f"""
+def test_close_of_the_connection_allows_another_attempt() -> None:
+    Scenario(settings=without_hedging_or_cancelling()).run(f"""
         client a send GET {PAGE} Req-Wait-Ms:5000
         cache expect w
         wait {int(MIN_OVERDUE_MS)}
@@ -88,10 +88,10 @@
     """)
 
 
-@pytest.mark.usefixtures("quick_silence")
-def test_a_silent_connection_is_ended_and_lets_another_attempt_out() -> None:
-    play = Scenario(settings=neither())
-    play.run(f"""
+@pytest.mark.usefixtures("short_health_check_times")
+def test_silent_connection_is_closed_and_allows_another_attempt() -> None:
+    scenario = Scenario(settings=without_hedging_or_cancelling())
+    scenario.run(f"""
         client a send GET {PAGE} Req-Wait-Ms:8000
         cache expect w
         cache expect there
@@ -99,23 +99,23 @@
         cache send v ok - second
         client a expect 200 body=second
     """)
-    assert play.node.core.counters["ended.health_check_failed"] == 1
+    assert scenario.node.core.counters["ended.health_check_failed"] == 1
 
 
-def test_a_request_whose_attempt_brings_nothing_is_answered_at_its_deadline() -> None:
-    play = Scenario(settings=neither())
-    began = time.monotonic()
-    play.run(f"""
+def test_request_without_an_answer_is_failed_at_its_deadline() -> None:
+    scenario = Scenario(settings=without_hedging_or_cancelling())
+    started_s = time.monotonic()
+    scenario.run(f"""
         client a send GET {PAGE} Req-Wait-Ms:500
         cache expect w
         client a expect 50?
         cache expect nothing 100
     """)
-    assert time.monotonic() - began >= 0.5 and play.node.core.counters["sent.pages"] == 1
+    assert time.monotonic() - started_s >= 0.5 and scenario.node.core.counters["sent.pages"] == 1
 
 
-def test_a_disconnected_client_s_request_is_forgotten_at_its_deadline() -> None:
-    """Its attempt may not be cancelled, and its answer may never come: the record would stay for good."""
+def test_request_of_a_disconnected_client_is_removed_at_its_deadline() -> None:
+    """Its attempt can't be cancelled and may never be answered: its entry would stay in the table forever."""
     link = unittest.mock.Mock()
     core = Core(
         h.settings(allows_hedging=False, allows_cancellation=False),
@@ -137,7 +137,7 @@
     core.intake.accept(request)
     core.member_links.endpoints[11] = Endpoint("s-1", ("127.0.0.1", 1))
     core.perform(Fetch(request.number, 11, 21))
-    out = core.requests_in_flight[request.number].open_attempts[0]
+    attempt = core.requests_in_flight[request.number].open_attempts[0]
     core.on_client_disconnected(request)
     assert (
         core.requests_in_flight[request.number].is_answered
@@ -146,14 +146,14 @@
     with unittest.mock.patch("lupintack.core.actor.now_us", lambda: request.deadline_us):
         core.run_turn([])
     assert not core.requests_in_flight and not core.requests.number_by_wire_id and not core.router.attempts
-    link.cancel.assert_called_once_with(out)
+    link.cancel.assert_called_once_with(attempt)
 
 
-def out_on(limits: PeerConfig) -> tuple[Peer, Connection, list[AttemptResult], list[bytes]]:
-    """A member, its connection with one open attempt, and what was reported and written."""
+def connected_peer(limits: PeerConfig) -> tuple[Peer, Connection, list[AttemptResult], list[bytes]]:
+    """Return a peer with one connection, and lists of the reported results and the written bytes."""
     reported: list[AttemptResult] = []
-    one = Peer("s-1", ("127.0.0.1", 1), limits, reported.append, lambda run, name: None)
-    conn = Connection(one)
+    peer = Peer("s-1", ("127.0.0.1", 1), limits, reported.append, lambda run, name: None)
+    conn = Connection(peer)
     conn.is_connected = True
     written: list[bytes] = []
 
@@ -163,84 +163,89 @@
 
     conn.send = write  # type: ignore[method-assign]
     conn.close = unittest.mock.Mock()  # type: ignore[method-assign]
-    one.pool.connections.append(conn)
-    return one, conn, reported, written
+    peer.pool.connections.append(conn)
+    return peer, conn, reported, written
 
 
-def test_an_attempt_that_can_t_be_cancelled_uses_its_connection_until_it_ends() -> None:
-    one, conn, reported, written = out_on(PeerConfig(2, 400_000, 15_000_000, (), allows_cancellation=False))
+def test_uncancellable_attempt_occupies_its_connection_until_it_ends() -> None:
+    peer, conn, reported, written = connected_peer(
+        PeerConfig(2, 400_000, 15_000_000, (), allows_cancellation=False)
+    )
     attempts = [make_attempt() for _ in range(3)]
     for n, attempt in enumerate(attempts):
         attempt.request.wire_id = f"{n:016x}"
-        one.send(attempt)
-    assert set(conn.open_attempts) == {"0" * 16, "0" * 15 + "1"} and len(one.waiting_attempts) == 1
+        peer.send(attempt)
+    assert set(conn.open_attempts) == {"0" * 16, "0" * 15 + "1"} and len(peer.waiting_attempts) == 1
     for attempt in attempts[:2]:
-        one.cancel(attempt)
-    one.enqueue(SlotReleased())
+        peer.cancel(attempt)
+    peer.enqueue(SlotReleased())
     assert (
         not conn.open_attempts
         and conn.attempts_at_member() == 2
-        and list(one.waiting_attempts) == attempts[2:]
+        and list(peer.waiting_attempts) == attempts[2:]
         and len(written) == 2
     )
     conn.close.assert_not_called()  # type: ignore[attr-defined]
-    one.tick()
+    peer.tick()
     conn.close.assert_called_once_with()  # type: ignore[attr-defined]
-    conn.abandoned_ids.discard("0" * 16)  # its answer has come
-    one.enqueue(SlotReleased())
+    conn.abandoned_ids.discard("0" * 16)  # its answer has arrived
+    peer.enqueue(SlotReleased())
     assert (
         list(conn.open_attempts.values()) == attempts[2:] and conn.attempts_at_member() == 2 and not reported
     )
 
 
-@pytest.mark.parametrize(("backlog", "taken"), [(b"", True), (b"stuck", True), (b"", False)])
-def test_a_cancel_that_can_t_be_written_ends_the_connection_before_the_attempt_s_end_is_reported(
-    backlog: bytes, taken: bool
+@pytest.mark.parametrize(("backlog", "is_written"), [(b"", True), (b"stuck", True), (b"", False)])
+def test_unwritable_cancel_closes_the_connection_before_the_end_is_reported(
+    backlog: bytes, is_written: bool
 ) -> None:
-    one, conn, reported, written = out_on(PeerConfig(32, 400_000, 15_000_000, ()))
+    peer, conn, reported, written = connected_peer(PeerConfig(32, 400_000, 15_000_000, ()))
     attempt = make_attempt()
-    one.send(attempt)
+    peer.send(attempt)
     conn.backlog += backlog
-    if not taken:
+    if not is_written:
         conn.send = lambda data: False  # type: ignore[method-assign]
-    ended: list[int] = []
-    conn.close = lambda: ended.append(len(reported))  # type: ignore[method-assign]
-    one.cancel(attempt, notify=True)
-    assert [end.status for end in reported] == [AttemptStatus.CANCELLED]
-    assert ended == ([] if taken and not backlog else [0])
-
-
-def audited(**limits: Any) -> Audit:
-    """A strict member's view of one read that its client has sent."""
-    audit = Audit(neither(**limits), {"s-1": MemberPlace("box", "edge"), "s-2": MemberPlace("box", "edge")})
+    reports_at_close: list[int] = []
+    conn.close = lambda: reports_at_close.append(len(reported))  # type: ignore[method-assign]
+    peer.cancel(attempt, notify=True)
+    assert [result.status for result in reported] == [AttemptStatus.CANCELLED]
+    assert reports_at_close == ([] if is_written and not backlog else [0])
+
+
+def audit_with_read(**limits: Any) -> Audit:
+    """Return an audit that has seen a client send one read."""
+    audit = Audit(
+        without_hedging_or_cancelling(**limits),
+        {"s-1": MemberPlace("box", "edge"), "s-2": MemberPlace("box", "edge")},
+    )
     audit.client("0" * 16, Sent("pages", "0" * 16, "0", "", b"", "", 5000))
     return audit
 
 
-TOLD = {"cls": "pages", "item": "0" * 16, "chunk": "0", "limit": "1"}
+ATTEMPT_FIELDS = {"cls": "pages", "item": "0" * 16, "chunk": "0", "limit": "1"}
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_the_audit_counts_an_attempt_past_its_limit_as_open(allowed: bool) -> None:
-    audit = audited(**{"second-copies": allowed})
+def test_audit_counts_an_attempt_past_its_limit_as_open(allowed: bool) -> None:
+    audit = audit_with_read(**{"second-copies": allowed})
     clock = unittest.mock.Mock(return_value=1000.0)
     with unittest.mock.patch("lupintack.standins.audit.time.time", clock):
-        first = audit.began("s-1", "0" * 16, TOLD, b"")
+        first = audit.began("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
         clock.return_value = 1010.0
-        second = audit.began("s-2", "0" * 16, TOLD, b"")
+        second = audit.began("s-2", "0" * 16, ATTEMPT_FIELDS, b"")
         audit.ended(second, "ok")
         clock.return_value = 1011.0
         audit.ended(first, "ok")
     assert bool(audit.faults) != allowed
 
 
-def test_the_audit_counts_an_attempt_that_is_never_answered_as_open() -> None:
-    audit = audited()
+def test_audit_counts_an_unanswered_attempt_as_open() -> None:
+    audit = audit_with_read()
     clock = unittest.mock.Mock(return_value=1000.0)
     with unittest.mock.patch("lupintack.standins.audit.time.time", clock):
-        audit.began("s-1", "0" * 16, TOLD, b"")
+        audit.began("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
         clock.return_value = 1010.0
-        audit.ended(audit.began("s-2", "0" * 16, TOLD, b""), "ok")
+        audit.ended(audit.began("s-2", "0" * 16, ATTEMPT_FIELDS, b""), "ok")
         assert not audit.faults
         clock.return_value = 1011.0
         audit.close()
