--- a/lupintack/core/handoff.py
+++ b/lupintack/core/handoff.py
@@ -153,7 +153,7 @@
             raise HandoffError(f"a record header was cut short after {len(head)} bytes")
         text_length, body_length = RECORD_HEADER.unpack(head)
         if text_length > MAX_JSON_BYTES or body_length > MAX_BODY_BYTES:
-            raise HandoffError(f"record too large: {text_length} bytes of JSON, {body_length} of body")
+            raise HandoffError(f"record too large: JSON bytes {text_length}, body bytes {body_length}")
         text, body = read_bytes(text_length), read_bytes(body_length)
         if len(text) < text_length or len(body) < body_length:
             raise HandoffError(f"a record was cut short after {len(text) + len(body)} bytes")
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -315,7 +315,7 @@
             deadline, applied = time.monotonic() + TIMEOUT_S, threading.Event()
             while self.node.discovery.last_revision < int(words[0]):
                 assert time.monotonic() < deadline, (
-                    f"last revision received: {self.node.discovery.last_revision}"
+                    f"{self.node.discovery.last_revision} is the last revision received"
                 )
                 time.sleep(0.002)
             self.node.member_table.purge(1 << 63, 0, 0.0, applied.set)  # queued after all events so far
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -180,7 +180,7 @@
         load.stop()
         _, admin = processes.start()
         processes.says(1, 'event="handoff received"')
-        line = next(line for line in processes.log(1).splitlines() if 'event="handoff received"' in line)
+        line = next(text for text in processes.log(1).splitlines() if 'event="handoff received"' in text)
         assert "learned=true" in line and "fault=none" in line and "copies=50" in line, line
         old.terminate()
         assert old.wait(10) == 0
@@ -243,7 +243,7 @@
         time.sleep(1.0)
         old.send_signal(signal.SIGCONT)
         processes.says(1, 'event="handoff received"')
-        line = next(line for line in processes.log(1).splitlines() if 'event="handoff received"' in line)
+        line = next(text for text in processes.log(1).splitlines() if 'event="handoff received"' in text)
         assert "learned=true" in line and "fault=none" in line, line
     finally:
         processes.close()
