--- a/lupintack/core/handoff.py
+++ b/lupintack/core/handoff.py
@@ -51,7 +51,7 @@
     copies: list[tuple[tuple[int, int], CachedCopy]]  # the least recently used first
 
     def records(self, max_copy_bytes: int) -> Iterator[bytes]:
-        """Yield the parts of the file in order: the learned state, then the last used copies that fit."""
+        """Yield the file's parts in order: the learned state, then the most recently used copies that fit."""
         yield from encode_record(self.learned)
         size, first = 0, len(self.copies)
         while first and size + len(self.copies[first - 1][1].answer.body) <= max_copy_bytes:
