--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -163,7 +163,7 @@
     def evict_idle_connection(self) -> None:
         """End the connection that has been idle for longest, to make room for a new one."""
         with self.lock:
-            number = self.stream_table.idlest(now_us(), MIN_IDLE_US)
+            number = self.stream_table.longest_idle(now_us(), MIN_IDLE_US)
             conn = self.connections.get(number or 0)
         if conn is not None:
             self.count("http2.closed.for_room")
--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -136,7 +136,7 @@
         # moment.
         if self.drain.takes() or stream <= self.last_stream:
             with server.lock:
-                decision = server.stream_table.opens(self.number, stream, now, server.free_requests())
+                decision = server.stream_table.open_stream(self.number, stream, now, server.free_requests())
         else:
             decision = StreamDecision.REFUSE
         if decision is not StreamDecision.ACCEPT:
@@ -180,7 +180,7 @@
             self.answer_error(exchange, HttpError(413, "the body is too long"))
         else:
             with self.server.lock:
-                decision = self.server.stream_table.reads(self.number, stream, len(data))
+                decision = self.server.stream_table.add_request_bytes(self.number, stream, len(data))
             if decision is StreamDecision.ACCEPT:
                 exchange.chunks.append(data)
             else:
@@ -204,7 +204,7 @@
         if exchange.received_bytes:
             request.received_us = self.wire.received_us  # its time counts from its last byte
         with self.server.lock:
-            self.server.stream_table.taken(self.number, stream)
+            self.server.stream_table.accept_request(self.number, stream)
         if self.server.blocking:
             self.server.spawn(lambda: self.handle(exchange), "http2 stream")
         else:
@@ -252,7 +252,7 @@
         if len(body) and not head_only:
             write = exchange.request.method not in ("GET", "HEAD")
             with server.lock:
-                decision = server.stream_table.answers(self.number, stream, len(body), write)
+                decision = server.stream_table.add_response_bytes(self.number, stream, len(body), write)
             if decision is not StreamDecision.ACCEPT:
                 # Guards the memory: what can't wait is not served. A read may be tried again.
                 server.count("http2.no_room")
@@ -294,7 +294,7 @@
         """Release what a stream that is over has reserved."""
         self.half_open.discard(stream)
         with self.server.lock:
-            self.server.stream_table.closes(self.number, stream, now_us())
+            self.server.stream_table.close_stream(self.number, stream, now_us())
 
     def on_closed(self, reason: str) -> None:
         """Handle the end of the connection: the clients of all open exchanges have left."""
@@ -313,22 +313,22 @@
         """Count a frame that costs; return False where the client has sent too many."""
         with self.server.lock:
             return (
-                self.server.stream_table.spends(self.number, COSTS[kind], now_us()) is StreamDecision.ACCEPT
+                self.server.stream_table.charge(self.number, COSTS[kind], now_us()) is StreamDecision.ACCEPT
             )
 
     def spend(self, cost: Cost, text: str) -> None:
         """Count a cost, and end the connection where there were too many."""
         with self.server.lock:
-            decision = self.server.stream_table.spends(self.number, cost, now_us())
+            decision = self.server.stream_table.charge(self.number, cost, now_us())
         if decision is StreamDecision.CALM:
             self.wire.calm(text)
 
     def on_written(self, stream: int, count: int, is_complete: bool) -> None:
         """Count bytes of an answer that are out."""
         with self.server.lock:
-            self.server.stream_table.wrote(self.number, stream, count)
+            self.server.stream_table.release_response_bytes(self.number, stream, count)
             if is_complete:
-                self.server.stream_table.closes(self.number, stream, now_us())
+                self.server.stream_table.close_stream(self.number, stream, now_us())
         if is_complete:
             self.reset_half_open(stream)
 
@@ -344,12 +344,12 @@
     def on_window_closed(self, stream: int) -> None:
         """Note that an answer, or the connection (0), waits for window."""
         with self.server.lock:
-            self.server.stream_table.shut(self.number, stream, now_us())
+            self.server.stream_table.on_window_closed(self.number, stream, now_us())
 
     def on_window_opened(self, stream: int) -> None:
         """Note that it has window again."""
         with self.server.lock:
-            self.server.stream_table.opened(self.number, stream, now_us())
+            self.server.stream_table.on_window_opened(self.number, stream, now_us())
 
     # The end of the connection
 
--- a/lupintack/limits/streams.py
+++ b/lupintack/limits/streams.py
@@ -18,7 +18,9 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-RESERVE = 8  # of the bytes in all, one in so many is for answers of writes: what ran must be told
+WRITE_RESERVE_DIVISOR = (
+    8  # of the bytes in all, one in so many is for answers of writes: what ran must be told
+)
 
 
 class StreamDecision(Enum):
@@ -105,29 +107,29 @@
     """Counts how long writing has stalled for want of window, less what was written since."""
 
     since_us: int = -1
-    spent_us: int = 0
-    moved: int = 0
+    accumulated_us: int = 0
+    written: int = 0
 
-    def shut(self, now_us: int) -> None:
+    def on_window_closed(self, now_us: int) -> None:
         """Begin to count time without window."""
         if self.since_us < 0:
             self.since_us = now_us
 
-    def opened(self, now_us: int) -> None:
+    def on_window_opened(self, now_us: int) -> None:
         """Stop counting: there is window again."""
         if self.since_us >= 0:
-            self.spent_us += max(0, now_us - self.since_us)
+            self.accumulated_us += max(0, now_us - self.since_us)
             self.since_us = -1
 
-    def wrote(self, count: int, enough: int) -> None:
+    def on_written(self, count: int, enough: int) -> None:
         """Guards against a window that opens by a byte at a time: only real progress clears the account."""
-        self.moved += count
-        if self.moved >= enough:
-            self.moved = self.spent_us = 0
+        self.written += count
+        if self.written >= enough:
+            self.written = self.accumulated_us = 0
 
-    def lasts_us(self, now_us: int) -> int:
+    def stalled_us(self, now_us: int) -> int:
         """Return the time without window since the last real progress."""
-        return self.spent_us + (max(0, now_us - self.since_us) if self.since_us >= 0 else 0)
+        return self.accumulated_us + (max(0, now_us - self.since_us) if self.since_us >= 0 else 0)
 
 
 @dataclass(slots=True)
@@ -180,7 +182,7 @@
             self.open -= len(account.streams)
             self.bytes -= account.bytes
 
-    def idlest(self, now_us: int, young_us: int) -> int | None:
+    def longest_idle(self, now_us: int, young_us: int) -> int | None:
         """Return the connection that is idle for longest, at least `young_us`, or None."""
         found = [
             (account.had_request, account.idle_since_us, conn)
@@ -191,7 +193,7 @@
 
     # Streams
 
-    def opens(self, conn: int, stream: int, now_us: int, free: int) -> StreamDecision:
+    def open_stream(self, conn: int, stream: int, now_us: int, free: int) -> StreamDecision:
         """Decide on a new request; `free` is how many more the core would take."""
         account = self.accounts.get(conn)
         if account is None:
@@ -214,7 +216,7 @@
         self.open += 1
         return StreamDecision.ACCEPT
 
-    def reads(self, conn: int, stream: int, count: int) -> StreamDecision:
+    def add_request_bytes(self, conn: int, stream: int, count: int) -> StreamDecision:
         """Decide on bytes of a request's body that wait for the rest of it."""
         account, stream_account = self._find(conn, stream)
         if account is None or stream_account is None:
@@ -226,7 +228,7 @@
         self.bytes += count
         return StreamDecision.ACCEPT
 
-    def taken(self, conn: int, stream: int) -> None:
+    def accept_request(self, conn: int, stream: int) -> None:
         """Note that the core has the complete request: its bytes are the core's."""
         account, stream_account = self._find(conn, stream)
         if account is not None and stream_account is not None:
@@ -235,12 +237,16 @@
             self.bytes -= stream_account.request_bytes
             stream_account.request_bytes = 0
 
-    def answers(self, conn: int, stream: int, count: int, write: bool) -> StreamDecision:
+    def add_response_bytes(self, conn: int, stream: int, count: int, write: bool) -> StreamDecision:
         """Decide on an answer's bytes; AT_CAPACITY: it is sent without them, as one that is not served."""
         account, stream_account = self._find(conn, stream)
         if account is None or stream_account is None:
             return StreamDecision.AT_CAPACITY
-        max_bytes = self.terms.all_bytes if write else self.terms.all_bytes * (RESERVE - 1) // RESERVE
+        max_bytes = (
+            self.terms.all_bytes
+            if write
+            else self.terms.all_bytes * (WRITE_RESERVE_DIVISOR - 1) // WRITE_RESERVE_DIVISOR
+        )
         if stream_account.response_bytes + count > self.terms.stream_bytes or not self._fits(
             account, count, max_bytes
         ):
@@ -251,7 +257,7 @@
         self.bytes += count
         return StreamDecision.ACCEPT
 
-    def wrote(self, conn: int, stream: int, count: int) -> None:
+    def release_response_bytes(self, conn: int, stream: int, count: int) -> None:
         """Release bytes of an answer that are out."""
         account, stream_account = self._find(conn, stream)
         if account is not None and stream_account is not None:
@@ -259,30 +265,30 @@
             stream_account.response_bytes -= count
             account.bytes -= count
             self.bytes -= count
-            stream_account.stall.wrote(count, self.terms.crawl_bytes)
-            account.stall.wrote(count, self.terms.crawl_bytes)
+            stream_account.stall.on_written(count, self.terms.crawl_bytes)
+            account.stall.on_written(count, self.terms.crawl_bytes)
 
-    def shut(self, conn: int, stream: int, now_us: int) -> None:
+    def on_window_closed(self, conn: int, stream: int, now_us: int) -> None:
         """Note that a stream's answer waits for window; stream 0 is the connection's own."""
         account = self.accounts.get(conn)
         if account is not None:
             stream_account = account.streams.get(stream)
             if stream == 0:
-                account.stall.shut(now_us)
+                account.stall.on_window_closed(now_us)
             elif stream_account is not None:
-                stream_account.stall.shut(now_us)
+                stream_account.stall.on_window_closed(now_us)
 
-    def opened(self, conn: int, stream: int, now_us: int) -> None:
+    def on_window_opened(self, conn: int, stream: int, now_us: int) -> None:
         """Note that it has window again."""
         account = self.accounts.get(conn)
         if account is not None:
             stream_account = account.streams.get(stream)
             if stream == 0:
-                account.stall.opened(now_us)
+                account.stall.on_window_opened(now_us)
             elif stream_account is not None:
-                stream_account.stall.opened(now_us)
+                stream_account.stall.on_window_opened(now_us)
 
-    def closes(self, conn: int, stream: int, now_us: int) -> None:
+    def close_stream(self, conn: int, stream: int, now_us: int) -> None:
         """Release a stream that is over: answered and written, reset, or refused late."""
         account = self.accounts.get(conn)
         stream_account = account.streams.pop(stream, None) if account is not None else None
@@ -295,7 +301,7 @@
 
     # Budgets and time
 
-    def spends(self, conn: int, cost: Cost, now_us: int) -> StreamDecision:
+    def charge(self, conn: int, cost: Cost, now_us: int) -> StreamDecision:
         """Decide on a frame that costs; CALM where the connection has sent more than its budget."""
         account = self.accounts.get(conn)
         if account is None:
@@ -310,7 +316,7 @@
         """Yield connection, stream (0: all of it) and the reason for each end that is due."""
         terms = self.terms
         for conn, account in list(self.accounts.items()):
-            if account.stall.lasts_us(now_us) > terms.window_shut_us:
+            if account.stall.stalled_us(now_us) > terms.window_shut_us:
                 yield conn, 0, Due.SHUT
             elif not account.had_request and now_us - account.since_us > terms.first_us:
                 yield conn, 0, Due.FIRST_LATE
@@ -323,7 +329,7 @@
                     yield conn, stream, Due.BODY_LATE
                 elif (
                     stream_account.response_bytes
-                    and stream_account.stall.lasts_us(now_us) > terms.window_shut_us
+                    and stream_account.stall.stalled_us(now_us) > terms.window_shut_us
                 ):
                     yield conn, stream, Due.STALLED
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -6,7 +6,14 @@
 from hypothesis import strategies as st
 
 from lupintack.limits.drain import GRACE_US, Drain, DrainPhase
-from lupintack.limits.streams import RESERVE, Cost, Due, StreamDecision, StreamTable, StreamTerms
+from lupintack.limits.streams import (
+    WRITE_RESERVE_DIVISOR,
+    Cost,
+    Due,
+    StreamDecision,
+    StreamTable,
+    StreamTerms,
+)
 
 TERMS = StreamTerms(
     streams=4, open_requests=12, stream_bytes=100, connection_bytes=200, all_bytes=400, crawl_bytes=10
@@ -15,15 +22,15 @@
 
 
 def filled(book: StreamTable, conn: int, count: int, free: int = 1000) -> list[StreamDecision]:
-    return [book.opens(conn, 2 * n + 1, 0, free) for n in range(count)]
+    return [book.open_stream(conn, 2 * n + 1, 0, free) for n in range(count)]
 
 
 def test_a_connection_has_its_streams_and_no_more() -> None:
     book = StreamTable(StreamTerms(streams=3))
     book.connect(1, 0)
     assert filled(book, 1, 4) == [StreamDecision.ACCEPT] * 3 + [StreamDecision.REFUSE]
-    book.closes(1, 1, 0)
-    assert book.opens(1, 9, 0, 1000) is StreamDecision.ACCEPT
+    book.close_stream(1, 1, 0)
+    assert book.open_stream(1, 9, 0, 1000) is StreamDecision.ACCEPT
 
 
 def test_the_connection_that_holds_most_is_turned_away_first() -> None:
@@ -33,18 +40,18 @@
         book.connect(conn, 0)
     taken = filled(book, 1, 30).count(StreamDecision.ACCEPT)
     assert taken == 10
-    assert book.opens(1, 99, 0, 1000) is StreamDecision.REFUSE
-    assert book.opens(2, 1, 0, 1000) is StreamDecision.ACCEPT
+    assert book.open_stream(1, 99, 0, 1000) is StreamDecision.REFUSE
+    assert book.open_stream(2, 1, 0, 1000) is StreamDecision.ACCEPT
 
 
 def test_a_full_core_refuses_whom_holds_most_and_then_all() -> None:
     book = StreamTable(TERMS)
     book.connect(1, 0)
-    assert book.opens(1, 1, 0, free=1) is StreamDecision.ACCEPT
-    assert book.opens(1, 3, 0, free=1) is StreamDecision.REFUSE
+    assert book.open_stream(1, 1, 0, free=1) is StreamDecision.ACCEPT
+    assert book.open_stream(1, 3, 0, free=1) is StreamDecision.REFUSE
     book.connect(2, 0)
-    assert book.opens(2, 1, 0, free=1) is StreamDecision.ACCEPT
-    assert book.opens(2, 3, 0, free=0) is StreamDecision.REFUSE
+    assert book.open_stream(2, 1, 0, free=1) is StreamDecision.ACCEPT
+    assert book.open_stream(2, 3, 0, free=0) is StreamDecision.REFUSE
 
 
 def test_bytes_are_bounded_by_stream_connection_and_in_all_with_a_reserve_for_writes() -> None:
@@ -52,13 +59,13 @@
     for conn in range(4):
         book.connect(conn, 0)
         filled(book, conn, 2)
-    assert book.answers(0, 1, 101, False) is StreamDecision.AT_CAPACITY
-    assert book.answers(0, 1, 100, False) is StreamDecision.ACCEPT
-    assert book.answers(0, 3, 100, False) is StreamDecision.ACCEPT
-    assert book.answers(1, 1, 100, False) is StreamDecision.ACCEPT
-    assert book.answers(2, 1, 60, False) is StreamDecision.AT_CAPACITY, "reads leave an eighth"
-    assert book.answers(2, 1, 60, True) is StreamDecision.ACCEPT
-    book.wrote(0, 1, 100)
+    assert book.add_response_bytes(0, 1, 101, False) is StreamDecision.AT_CAPACITY
+    assert book.add_response_bytes(0, 1, 100, False) is StreamDecision.ACCEPT
+    assert book.add_response_bytes(0, 3, 100, False) is StreamDecision.ACCEPT
+    assert book.add_response_bytes(1, 1, 100, False) is StreamDecision.ACCEPT
+    assert book.add_response_bytes(2, 1, 60, False) is StreamDecision.AT_CAPACITY, "reads leave an eighth"
+    assert book.add_response_bytes(2, 1, 60, True) is StreamDecision.ACCEPT
+    book.release_response_bytes(0, 1, 100)
     assert book.bytes == 260
     book.disconnect(0)
     assert book.bytes == 160 and book.open == 6
@@ -68,20 +75,20 @@
     book = StreamTable(TERMS)
     book.connect(1, 0)
     filled(book, 1, 1)
-    assert book.reads(1, 1, 150) is StreamDecision.ACCEPT
-    assert book.reads(1, 1, 60) is StreamDecision.REFUSE
-    book.taken(1, 1)
+    assert book.add_request_bytes(1, 1, 150) is StreamDecision.ACCEPT
+    assert book.add_request_bytes(1, 1, 60) is StreamDecision.REFUSE
+    book.accept_request(1, 1)
     assert book.bytes == 0
 
 
 def test_budgets_hold_bursts_and_rates() -> None:
     book = StreamTable(StreamTerms(resets_per_s=2, resets_burst=3))
     book.connect(1, 0)
-    spent = [book.spends(1, Cost.RESET, 0) for _ in range(4)]
+    spent = [book.charge(1, Cost.RESET, 0) for _ in range(4)]
     assert spent == [StreamDecision.ACCEPT] * 3 + [StreamDecision.CALM]
-    assert book.spends(1, Cost.RESET, SECOND // 2) is StreamDecision.ACCEPT
-    assert book.spends(1, Cost.RESET, SECOND // 2) is StreamDecision.CALM
-    assert book.spends(1, Cost.CONTROL, SECOND // 2) is StreamDecision.ACCEPT, "each kind has its own"
+    assert book.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.ACCEPT
+    assert book.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.CALM
+    assert book.charge(1, Cost.CONTROL, SECOND // 2) is StreamDecision.ACCEPT, "each kind has its own"
 
 
 def due(book: StreamTable, now: int) -> list[tuple[int, Due]]:
@@ -93,17 +100,17 @@
     book.connect(1, 0)
     filled(book, 1, 3)
     for stream in (1, 3, 5):
-        book.taken(1, stream)
+        book.accept_request(1, stream)
     for stream in (1, 3):
-        book.answers(1, stream, 40, False)
-    book.shut(1, 1, 0)
+        book.add_response_bytes(1, stream, 40, False)
+    book.on_window_closed(1, 1, 0)
     for second in range(11):  # stream 3 crawls: a byte a second, and shut again
-        book.shut(1, 3, second * SECOND)
-        book.opened(1, 3, (second + 1) * SECOND)
-        book.wrote(1, 3, 0)
+        book.on_window_closed(1, 3, second * SECOND)
+        book.on_window_opened(1, 3, (second + 1) * SECOND)
+        book.release_response_bytes(1, 3, 0)
     assert due(book, 10 * SECOND) == [(3, Due.STALLED)]
     assert due(book, 10 * SECOND + 1) == [(1, Due.STALLED), (3, Due.STALLED)]
-    book.wrote(1, 3, 10)  # real progress clears it
+    book.release_response_bytes(1, 3, 10)  # real progress clears it
     assert due(book, 10 * SECOND + 1) == [(1, Due.STALLED)]
 
 
@@ -113,14 +120,14 @@
     book.connect(1, 0, chance=0.5)
     assert due(book, 2 * SECOND) == []
     assert due(book, 2 * SECOND + 1) == [(0, Due.FIRST_LATE)]
-    book.opens(1, 1, 0, 10)
+    book.open_stream(1, 1, 0, 10)
     assert due(book, 2 * SECOND + 1) == [(1, Due.BODY_LATE)]
-    book.taken(1, 1)
+    book.accept_request(1, 1)
     assert due(book, 95 * SECOND) == []
     assert due(book, 95 * SECOND + 1) == [(0, Due.AGED)]
-    book.closes(1, 1, 20 * SECOND)
+    book.close_stream(1, 1, 20 * SECOND)
     assert due(book, 80 * SECOND + 1) == [(0, Due.IDLE)]
-    book.shut(1, 0, 81 * SECOND)
+    book.on_window_closed(1, 0, 81 * SECOND)
     assert due(book, 91 * SECOND + 1) == [(0, Due.SHUT)]
 
 
@@ -129,13 +136,13 @@
     for conn in (1, 2, 3, 4):
         book.connect(conn, conn)
     for conn in (1, 2, 3):
-        book.opens(conn, 1, 10, 100)
-    book.closes(2, 1, 30)
-    book.closes(1, 1, 40)
-    assert book.idlest(40, 40) is None
-    assert book.idlest(100, 40) == 4
+        book.open_stream(conn, 1, 10, 100)
+    book.close_stream(2, 1, 30)
+    book.close_stream(1, 1, 40)
+    assert book.longest_idle(40, 40) is None
+    assert book.longest_idle(100, 40) == 4
     book.disconnect(4)
-    assert book.idlest(100, 40) == 2
+    assert book.longest_idle(100, 40) == 2
 
 
 def test_a_drain_tells_twice_and_ends_once() -> None:
@@ -150,7 +157,18 @@
 
 STEP = st.tuples(
     st.sampled_from(
-        ("connect", "disconnect", "opens", "reads", "taken", "answers", "wrote", "closes", "shut", "opened")
+        (
+            "connect",
+            "disconnect",
+            "open_stream",
+            "add_request_bytes",
+            "accept_request",
+            "add_response_bytes",
+            "release_response_bytes",
+            "close_stream",
+            "on_window_closed",
+            "on_window_opened",
+        )
     ),
     st.integers(0, 4),
     st.integers(0, 6),
@@ -172,11 +190,11 @@
             book.connect(conn, now)
         elif what == "disconnect":
             book.disconnect(conn)
-        elif what == "opens":
+        elif what == "open_stream":
             account = book.accounts.get(conn)
             if account is None or stream not in account.streams:
                 held = len(account.streams) if account else 0
-                verdict = book.opens(conn, stream, now, free)
+                verdict = book.open_stream(conn, stream, now, free)
                 if (
                     account is not None
                     and not held
@@ -187,18 +205,18 @@
                     assert verdict is StreamDecision.ACCEPT or book.open >= 12, (
                         "a newcomer gets in while there is room"
                     )
-        elif what == "reads":
-            book.reads(conn, stream, count)
-        elif what == "answers":
-            verdict = book.answers(conn, stream, count, write=False)
+        elif what == "add_request_bytes":
+            book.add_request_bytes(conn, stream, count)
+        elif what == "add_response_bytes":
+            verdict = book.add_response_bytes(conn, stream, count, write=False)
             if verdict is StreamDecision.ACCEPT:
                 assert book.bytes <= terms.all_bytes
-        elif what == "wrote":
-            book.wrote(conn, stream, count)
-        elif what in ("shut", "opened"):
+        elif what == "release_response_bytes":
+            book.release_response_bytes(conn, stream, count)
+        elif what in ("on_window_closed", "on_window_opened"):
             getattr(book, what)(conn, stream, now)
         else:
-            getattr(book, what)(conn, stream, *([now] if what == "closes" else []))
+            getattr(book, what)(conn, stream, *([now] if what == "close_stream" else []))
         accounts = book.accounts.values()
         assert book.open == sum(len(a.streams) for a in accounts) <= terms.open_requests
         assert 0 <= book.bytes == sum(a.bytes for a in accounts) <= terms.all_bytes
@@ -219,6 +237,6 @@
     now = given_out = 0
     for gap in gaps:
         now += gap
-        given_out += book.spends(1, Cost.CONTROL, now) is StreamDecision.ACCEPT
+        given_out += book.charge(1, Cost.CONTROL, now) is StreamDecision.ACCEPT
         assert given_out <= burst + now * per_s / SECOND
-    assert RESERVE > 1
+    assert WRITE_RESERVE_DIVISOR > 1
