--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -134,7 +134,7 @@
         server.count("http2.streams")
         # A stream that the last GOAWAY counted as taken may have been read, and not handed over, at that
         # moment.
-        if self.drain.takes() or stream <= self.last_stream:
+        if self.drain.accepts_streams() or stream <= self.last_stream:
             with server.lock:
                 decision = server.stream_table.open_stream(self.number, stream, now, server.free_requests())
         else:
@@ -359,13 +359,13 @@
             now = now_us()
             if self.drain.begin(now):
                 self.wire.go_away(last=False)
-            if self.drain.last(now, at_once=at_once):
+            if self.drain.finish(now, immediately=at_once):
                 self.send_last_goaway()
 
     def on_pong(self) -> None:
         """Send the last GOAWAY: the client has seen the first."""
         with self.wire.lock:
-            if self.drain.last(now_us(), came_back=True):
+            if self.drain.finish(now_us(), ping_acknowledged=True):
                 self.send_last_goaway()
 
     def send_last_goaway(self) -> None:
@@ -383,15 +383,15 @@
             unanswered = (
                 wire.is_calling or self.open_exchanges or wire.unwritten_bytes() or wire.is_lingering()
             )
-            return bool(unanswered or (self.drain.takes() and not wire.ended))
+            return bool(unanswered or (self.drain.accepts_streams() and not wire.ended))
 
     def check_drain(self, now: int) -> None:
         """Send the last GOAWAY when it is due, and end the connection when all is answered."""
         with self.wire.lock:
-            if self.drain.last(now):
+            if self.drain.finish(now):
                 self.send_last_goaway()
             # Guards streams that have been read and acknowledged, but not been submitted yet.
-            if not self.wire.is_calling and self.drain.over(
+            if not self.wire.is_calling and self.drain.complete(
                 len(self.open_exchanges), self.wire.unwritten_bytes()
             ):
                 self.wire.finish("drained")
--- a/lupintack/limits/drain.py
+++ b/lupintack/limits/drain.py
@@ -17,8 +17,8 @@
 
     OPEN = auto()
     ANNOUNCED = auto()  # that it will end; new streams are still taken
-    LAST = auto()  # which streams were taken; new ones are refused
-    OVER = auto()  # all is answered and written
+    FINAL = auto()  # which streams were taken; new ones are refused
+    CLOSED = auto()  # all is answered and written
 
 
 class Drain:
@@ -37,22 +37,22 @@
         self.announced_us = now_us
         return True
 
-    def last(self, now_us: int, came_back: bool = False, at_once: bool = False) -> bool:
+    def finish(self, now_us: int, ping_acknowledged: bool = False, immediately: bool = False) -> bool:
         """Return whether the last GOAWAY is due now: once, after a round trip or the grace."""
         if self.phase is DrainPhase.ANNOUNCED and (
-            came_back or at_once or now_us - self.announced_us >= GRACE_US
+            ping_acknowledged or immediately or now_us - self.announced_us >= GRACE_US
         ):
-            self.phase = DrainPhase.LAST
+            self.phase = DrainPhase.FINAL
             return True
         return False
 
-    def takes(self) -> bool:
+    def accepts_streams(self) -> bool:
         """Return whether a new stream is still taken."""
         return self.phase in (DrainPhase.OPEN, DrainPhase.ANNOUNCED)
 
-    def over(self, open_streams: int, unwritten: int) -> bool:
+    def complete(self, open_streams: int, unwritten: int) -> bool:
         """Return whether the connection can close now: once, when all is answered and written."""
-        if self.phase is DrainPhase.LAST and not open_streams and not unwritten:
-            self.phase = DrainPhase.OVER
+        if self.phase is DrainPhase.FINAL and not open_streams and not unwritten:
+            self.phase = DrainPhase.CLOSED
             return True
         return False
