--- a/lupintack/fronts/http1.py
+++ b/lupintack/fronts/http1.py
@@ -101,7 +101,7 @@
                 evict = partial(self.evict_idle_connections, now)
                 pause_after_failed_accept(error, failures, self.lines, LOG, evict, self.accepting)
                 continue
-            failures.succeeded()
+            failures.on_success()
             self.begin(sock, str(where[0]))
 
     def begin(self, sock: socket.socket, peer_ip: str) -> None:
--- a/lupintack/fronts/http1_connection.py
+++ b/lupintack/fronts/http1_connection.py
@@ -233,7 +233,7 @@
             pass
         except OSError as error:
             self.end_reason = f"broken.{type(error).__name__.lower()}"
-            return not sockets.passes(error)
+            return not sockets.is_transient(error)
         return False
 
     def on_received(self, data: bytes) -> None:
--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -125,7 +125,7 @@
                 evict = self.evict_idle_connection
                 pause_after_failed_accept(error, failures, self.lines, LOG, evict, self.accepting)
                 continue
-            failures.succeeded()
+            failures.on_success()
             never = struct.pack("ll", 0, 0)
             sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, never)  # inherited
             self.begin(sock, str(where[0]))
--- a/lupintack/fronts/listener.py
+++ b/lupintack/fronts/listener.py
@@ -12,7 +12,7 @@
 
 from lupintack.clock import now_us
 from lupintack.logs import LineLimit, fields
-from lupintack.sockets import ACCEPT_LASTS_S, LOCAL, AcceptFailures
+from lupintack.sockets import LOCAL_ERRORS, SHORTAGE_DELAY_S, AcceptFailures
 
 LOG = logging.getLogger("listener")
 BACKLOG = 512  # connections that the kernel has taken and we have not
@@ -20,7 +20,7 @@
     3.0  # of a start, for calls that fail; with the start itself it stays under the 6 s of a short day
 )
 RETRY_INTERVAL_S = 0.05
-TRANSIENT_ERRORS = LOCAL | {errno.EADDRINUSE}
+TRANSIENT_ERRORS = LOCAL_ERRORS | {errno.EADDRINUSE}
 """Of socket, setsockopt, bind and listen (their manual pages): may be otherwise a moment later."""
 
 Result = TypeVar("Result")
@@ -74,12 +74,12 @@
 
     Where the server accepts no more, the failure is counted and nothing else: its end must not be held up.
     """
-    pause_s = failures.failed(error)
+    pause_s = failures.on_failure(error)
     if not pause_s or not is_accepting:
         return
     if lines.allow(now_us()) >= 0:
         log.warning("accept failed", extra=fields(reason=error))
-    if pause_s >= ACCEPT_LASTS_S:
+    if pause_s >= SHORTAGE_DELAY_S:
         evict()
     time.sleep(pause_s)
 
--- a/lupintack/peers/resp.py
+++ b/lupintack/peers/resp.py
@@ -120,9 +120,9 @@
                 except BlockingIOError:
                     raise FrameError("a bulk string stops short") from None
                 except OSError as error:
-                    if not sockets.passes(error):
+                    if not sockets.is_transient(error):
                         raise
-                    time.sleep(sockets.PAUSE_S)
+                    time.sleep(sockets.RETRY_DELAY_S)
                     continue
                 if not count:
                     raise EndOfStreamError()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,7 +16,7 @@
 import pytest
 
 from lupintack import sockets
-from lupintack.sockets import ACCEPT_PAUSE_S, TRIES, AcceptFailures
+from lupintack.sockets import MAX_ACCEPT_DELAY_S, MAX_TRIES, AcceptFailures
 from lupintack.standins.edge import START_PATIENCE_S, ClientRecord, Edge, End
 from lupintack.standins.net import free_ports
 
@@ -155,7 +155,7 @@
 
 def test_a_write_that_would_wait_leaves_the_rest() -> None:
     for last in (BlockingIOError(), OSError(errno.ENOMEM, "")):
-        sock = FailingWrites(7, *[last] * sockets.SEND_NOW_TRIES)
+        sock = FailingWrites(7, *[last] * sockets.MAX_SEND_NOW_TRIES)
         left = sockets.send_parts_now(sock, [b"head ", b"body"])  # type: ignore[arg-type]
         assert (sock.written, [bytes(one) for one in left]) == (b"head bo", [b"dy"])
 
@@ -211,13 +211,13 @@
 def test_an_accept_waits_only_for_what_the_machine_lacks() -> None:
     counted: list[str] = []
     failures = AcceptFailures(counted.append)
-    assert [failures.failed(OSError(103, "aborted")) for _ in range(50)] == [0.0] * 50
-    for _ in range(TRIES):
-        last = failures.failed(OSError(103, "aborted"))
-    assert last == ACCEPT_PAUSE_S, "an error that stays must not take the whole processor"
-    failures.succeeded()
-    pauses = [failures.failed(OSError(23, "table full")) for _ in range(10)]
-    assert pauses[0] < 0.002 and pauses == sorted(pauses) and pauses[-1] == ACCEPT_PAUSE_S
+    assert [failures.on_failure(OSError(103, "aborted")) for _ in range(50)] == [0.0] * 50
+    for _ in range(MAX_TRIES):
+        last = failures.on_failure(OSError(103, "aborted"))
+    assert last == MAX_ACCEPT_DELAY_S, "an error that stays must not take the whole processor"
+    failures.on_success()
+    pauses = [failures.on_failure(OSError(23, "table full")) for _ in range(10)]
+    assert pauses[0] < 0.002 and pauses == sorted(pauses) and pauses[-1] == MAX_ACCEPT_DELAY_S
     assert set(counted) == {"accept.econnaborted", "accept.enfile"}
 
 
