--- a/lupintack/arrivals.py
+++ b/lupintack/arrivals.py
@@ -1,7 +1,7 @@
-"""Bounds on when the bytes of a connection arrived, for requests that are read much later. Pure.
+"""Lower bounds on the arrival times of a connection's bytes, for requests that are read much later. Pure.
 
-The kernel tells when the last bytes arrived, not when those before them did. What is certain is that bytes
-which were not there at a look before a read have arrived since that look. Times are in microseconds of the
+The kernel reports when the last bytes arrived, but not when the bytes before them did. Bytes that had not
+arrived at a check before a read must have arrived after that check. Times are in microseconds of the
 monotonic clock.
 """
 
@@ -24,14 +24,14 @@
     """The bounds of one connection. `before_read` and `after_read` surround each read."""
 
     def __init__(self, established_us: int) -> None:
-        """Begin with a connection that was established at this moment: its first byte came later."""
-        self.received = 0  # bytes that were read
-        self.consumed = 0  # and of them taken off
+        """Begin with a connection established at `established_us`: its first byte arrived after that."""
+        self.received = 0  # bytes that have been read
+        self.consumed = 0  # of these, the bytes that have been consumed
         self._bounds: deque[Bound] = deque([Bound(0, established_us)])
-        self._segments = -1  # that had arrived at the look before the read; -1: not known
+        self._segments = -1  # count that had arrived before the read; -1: unknown
 
     def before_read(self, now_us: int, info: ReceiveInfo | None) -> None:
-        """Note what has arrived and is unread; `info` is None where the kernel does not tell."""
+        """Record what has arrived and is unread; `info` is None where the kernel does not report it."""
         self._segments = -1
         if info is None or info.bytes_received < self.received:
             return
@@ -42,11 +42,11 @@
     def after_read(
         self, length: int, now_us: int, info: ReceiveInfo | None, paused_since_us: int | None = None
     ) -> None:
-        """Note that so many bytes were read.
+        """Record a read of `length` bytes.
 
-        Nothing was unread before a read that had to wait. Its bytes woke the reader, and are as young as the
-        last ones, unless the process was kept from running: then they may have arrived since that began,
-        `paused_since_us`, but where all of them are one segment.
+        Nothing was unread before a read that had to wait. Its bytes woke the reader, so they are as recent as
+        the last ones, unless the process was paused: then they may have arrived at any time since
+        `paused_since_us`, except where all of them are one segment.
         """
         position = self.received
         self.received += length
@@ -63,34 +63,34 @@
             self._add(self.received - 1, last_us)
 
     def consume(self, length: int) -> int:
-        """Take bytes off; return the earliest moment at which the last byte taken so far can have arrived."""
+        """Consume bytes; return the earliest time at which the last byte consumed so far can have arrived."""
         self.consumed += length
         return self._earliest_us(self.consumed - 1)
 
     def consume_from_first(self, length: int) -> int:
-        """Take bytes off; return the earliest moment at which the first of them can have arrived."""
+        """Consume bytes; return the earliest time at which the first of them can have arrived."""
         earliest_us = self._earliest_us(self.consumed)
         self.consumed += length
         return earliest_us
 
     def next_unread_us(self) -> int:
-        """Return the earliest moment at which the first byte that is not read yet can have arrived."""
+        """Return the earliest time at which the first unread byte can have arrived."""
         return self._earliest_us(self.received)
 
     def _add(self, position: int, earliest_us: int) -> None:
-        """Add a bound; none is earlier than one for bytes before it."""
-        later: list[Bound] = []
+        """Add a bound; raise it, and those after it, to the bound of the bytes before."""
+        later_bounds: list[Bound] = []
         while self._bounds[-1].position > position:
-            later.append(self._bounds.pop())
+            later_bounds.append(self._bounds.pop())
         earliest_us = max(earliest_us, self._bounds[-1].earliest_us)
         if self._bounds[-1].position == position:
             self._bounds.pop()
         self._bounds.append(Bound(position, earliest_us))
-        for bound in reversed(later):
+        for bound in reversed(later_bounds):
             self._bounds.append(Bound(bound.position, max(bound.earliest_us, earliest_us)))
 
     def _earliest_us(self, position: int) -> int:
-        """Return the bound of one byte, and forget those of bytes before it."""
+        """Return the bound of one byte, and drop the bounds of the bytes before it."""
         while len(self._bounds) > 1 and self._bounds[1].position <= position:
             self._bounds.popleft()
         return self._bounds[0].earliest_us
--- a/lupintack/core/actor.py
+++ b/lupintack/core/actor.py
@@ -54,7 +54,7 @@
 )
 from lupintack.limits.idempotency_cache import IdempotencyCache
 from lupintack.logs import fields
-from lupintack.pauses import PROCESS
+from lupintack.pauses import PROCESS_PAUSES
 
 LOG = logging.getLogger("core")
 TIMER_INTERVAL_S = 0.01  # the timers' thread checks this often: no timer is set closer than that
@@ -151,7 +151,7 @@
         next_tick_us = now_us() + LINK_TICK_INTERVAL_US
         while not self.is_stopped:
             now = now_us()
-            PROCESS.tick(now)
+            PROCESS_PAUSES.tick(now)
             if self.timers.is_due(now):
                 self.mailbox.run_timer_turn()
             self.mailbox.run_pending()
--- a/lupintack/logs.py
+++ b/lupintack/logs.py
@@ -1,4 +1,4 @@
-"""Logging as key=value lines (logfmt) on standard error, through the library `logfmter`."""
+"""Logging as key=value lines (logfmt) on standard error, with the library `logfmter`."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def formatter() -> logging.Formatter:
-    """One line a record: time, level, part of the program, event, and the fields given as `extra`."""
-    return Lines(keys=KEYS, mapping={"ts": "created", "level": "levelname", "part": "name"})
+    """Return a formatter of one line per record: time, level, part of the program, event, extra fields."""
+    return LineFormatter(keys=KEYS, mapping={"ts": "created", "level": "levelname", "part": "name"})
 
 
-class Lines(Logfmter):
-    """The program's words: levels in small letters, times in milliseconds, the text as `event`."""
+class LineFormatter(Logfmter):
+    """Writes levels in lower case, times with milliseconds, and the message as `event`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Return the line for a record."""
         copy = logging.makeLogRecord(record.__dict__)
         copy.levelname = record.levelname.lower()
         copy.created = f"{record.created:.3f}"  # type: ignore[assignment]
@@ -34,17 +34,17 @@
 
 
 def _flat(value: object) -> object:
-    """Logfmter opens dictionaries up; any other object is shown by its text."""
+    """Return a dictionary as text, since Logfmter would flatten it; return other values unchanged."""
     return str(value) if isinstance(value, dict) else value
 
 
 def fields(**values: object) -> dict[str, dict[str, object]]:
-    """The `extra` of a log call."""
+    """Return the `extra` argument of a log call."""
     return {"kv": values}
 
 
 class LineLimit:
-    """Lets so many lines of one kind a second through, and counts the others. Not locked: a count may be
+    """Limits the lines of one kind per second, and counts the suppressed ones. Without a lock: counts may be
     lost.
     """
 
@@ -56,7 +56,7 @@
         self.suppressed = 0
 
     def allow(self, now_us: int) -> int:
-        """How many lines were suppressed since the last one; negative where this one is, too."""
+        """Return the number of lines suppressed since the last one; negative to suppress this one as well."""
         if now_us // 1_000_000 != self.second:
             self.second, self.lines = now_us // 1_000_000, 0
         if self.lines >= self.per_second:
@@ -68,16 +68,16 @@
 
 
 def set_up(name: str) -> None:
-    """Log to standard error, also what a thread dies of."""
+    """Log to standard error, including unhandled exceptions of threads."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(formatter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.INFO)
 
-    def on_death(args: threading.ExceptHookArgs) -> None:
-        what = (args.exc_type, args.exc_value or args.exc_type(), args.exc_traceback)
+    def on_thread_exception(args: threading.ExceptHookArgs) -> None:
+        exc_info = (args.exc_type, args.exc_value or args.exc_type(), args.exc_traceback)
         extra = fields(node=name, thread=args.thread.name if args.thread else "")
-        logging.getLogger("lupintack").error("a thread died", exc_info=what, extra=extra)
+        logging.getLogger("lupintack").error("unhandled exception in thread", exc_info=exc_info, extra=extra)
 
-    threading.excepthook = on_death
+    threading.excepthook = on_thread_exception
