--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -359,13 +359,13 @@
             now = now_us()
             if self.drain.begin(now):
                 self.wire.go_away(last=False)
-            if self.drain.finish(now, immediately=at_once):
+            if self.drain.finalize(now, immediately=at_once):
                 self.send_last_goaway()
 
     def on_pong(self) -> None:
         """Send the last GOAWAY: the client has seen the first."""
         with self.wire.lock:
-            if self.drain.finish(now_us(), ping_acknowledged=True):
+            if self.drain.finalize(now_us(), ping_acknowledged=True):
                 self.send_last_goaway()
 
     def send_last_goaway(self) -> None:
@@ -388,7 +388,7 @@
     def check_drain(self, now: int) -> None:
         """Send the last GOAWAY when it is due, and end the connection when all is answered."""
         with self.wire.lock:
-            if self.drain.finish(now):
+            if self.drain.finalize(now):
                 self.send_last_goaway()
             # Guards streams that have been read and acknowledged, but not been submitted yet.
             if not self.wire.is_calling and self.drain.complete(
--- a/lupintack/limits/__init__.py
+++ b/lupintack/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about limits: no I/O, no clock and no random numbers of their own."""
+"""Decisions about limits, without I/O; callers pass in the time and random numbers."""
--- a/lupintack/limits/idempotency_cache.py
+++ b/lupintack/limits/idempotency_cache.py
@@ -1,8 +1,9 @@
 """Attempts that may have run under an idempotency key, so that none is sent after the deduplication window.
 
-A client's own retry is another request under the same key. The servers drop repeats for a window that begins
-with the first attempt that may have run, whichever request that was for. A restarted router knows nothing of
-earlier attempts; there the key and the client's own count of the window apply. Times are in microseconds.
+A client's own retry is another request with the same key. The servers drop duplicates for a window that
+begins with the first attempt that may have run, for any request with that key. A restarted router has no
+record of earlier attempts: then only the key and the client's own tracking of the window apply. Times are in
+microseconds.
 """
 
 from __future__ import annotations
@@ -22,24 +23,23 @@
 
 
 class IdempotencyCache:
-    """The attempts that may have run by class and key, in the order in which they were sent.
+    """The attempts that may have run, by class and key, in the order in which they were sent.
 
-    A key expires once no retry of its client can come any more, or as the oldest of too many. Not
-    thread-safe.
+    A key expires when its client can no longer retry, or as the oldest key of a full cache. Not thread-safe.
     """
 
     def __init__(self, max_keys: int = 8192) -> None:
-        """Begin empty; at most `max_keys` are remembered."""
+        """Begin empty; at most `max_keys` keys are kept."""
         self.max_keys = max_keys
         self.possible_runs: OrderedDict[tuple[int, str], list[PossibleRun]] = OrderedDict()
 
     def first_run(self, class_index: int, key: str) -> PossibleRun | None:
-        """Return the attempt that opened the deduplication window, None where this router knows of none."""
+        """Return the attempt that opened the deduplication window, or None where none is recorded."""
         runs = self.possible_runs.get((class_index, key))
         return runs[0] if runs else None
 
     def on_attempt_sent(self, class_index: int, key: str, run: PossibleRun, keep_us: int) -> None:
-        """Note an attempt that is sent; forget keys whose first attempt is older than `keep_us`."""
+        """Record an attempt that is sent; drop keys whose first attempt is older than `keep_us`."""
         self.possible_runs.setdefault((class_index, key), []).append(run)
         while (
             len(self.possible_runs) > self.max_keys
@@ -48,7 +48,7 @@
             self.possible_runs.popitem(last=False)
 
     def on_no_effect(self, class_index: int, key: str, request: int, attempt: int) -> None:
-        """Forget an attempt that is proved to have had no effect."""
+        """Remove an attempt that is proved to have had no effect."""
         runs = self.possible_runs.get((class_index, key), [])
         remaining = [run for run in runs if (run.request, run.attempt) != (request, attempt)]
         if remaining:
--- a/lupintack/limits/retries.py
+++ b/lupintack/limits/retries.py
@@ -1,9 +1,9 @@
 """Retries of the client library: whether and when the next attempt is sent. No I/O, no clock.
 
-Every class may retry what was not processed. A class that is not idempotent (alert-ack) may not retry an
-attempt whose bytes may have been sent and which got no answer: whether it ran stays unknown. Retries draw
-on a budget that first attempts fill: when a site is down, all clients together add no more than that share
-to its load (the retry budget of Finagle, as a token bucket).
+Attempts that were not processed may be retried in every class. A class that is not idempotent (alert-ack) may
+not retry an attempt whose bytes may have been sent and which got no response: it may have run. Retries draw
+on a budget that first attempts fill: when a site is down, all clients together add at most that share to its
+load (the retry budget of Finagle, as a token bucket).
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
     SERVED = auto()
     NOT_MODIFIED = auto()  # the client's own copy is current
-    REJECTED = auto()  # 429 or 503: a retry does no harm
+    REJECTED = auto()  # 429 or 503: a retry is safe
     FAILED = auto()  # any other status: a write may have run
-    NOT_PROCESSED = auto()  # proven: refused connect, REFUSED_STREAM, above GOAWAY's last id, not written
-    UNKNOWN = auto()  # reset or no answer in time, after bytes may have been sent
+    NOT_PROCESSED = auto()  # proven: connect refused, REFUSED_STREAM, above GOAWAY's last id, not written
+    UNKNOWN = auto()  # reset or timeout after bytes may have been sent
 
 
 FINAL_RESULTS = frozenset((ClientAttemptResult.SERVED, ClientAttemptResult.NOT_MODIFIED))
@@ -35,11 +35,11 @@
 
     tries: int = 4  # including the first
     share: float = 0.2  # retries that a first attempt earns
-    saved: int = 10  # retries that can be saved up; the budget starts full
+    saved: int = 10  # most retries the budget holds; it starts full
     base_us: int = 50_000  # the first backoff without a Retry-After; it doubles
     most_us: int = 2_000_000
-    jitter: float = 0.5  # most of a wait that is added by a random draw
-    least_us: int = 20_000  # no attempt starts with less time left
+    jitter: float = 0.5  # largest random share of a delay that is added to it
+    least_us: int = 20_000  # no attempt starts with less time before the deadline
 
 
 class RetryBudget:
@@ -53,7 +53,7 @@
         self.withheld = 0
 
     def on_first_attempt(self) -> None:
-        """Add what a first attempt earns."""
+        """Add the share of a retry that a first attempt earns."""
         self.saved_millionths = min(
             self.terms.saved * MILLION, self.saved_millionths + int(self.terms.share * MILLION)
         )
@@ -70,8 +70,9 @@
     ) -> int | None:
         """Return when the next attempt starts, or None when this result is final.
 
-        `attempts` counts those made, `retry_after_us` is what the router advised (0: nothing), `draw` is a
-        random number in [0, 1). The first retry of what was not processed takes nothing from the budget.
+        `attempts` counts the attempts made, `retry_after_us` is the router's Retry-After (0: none), `draw` is
+        a random number in [0, 1). The first retry of an attempt that was not processed does not use the
+        budget.
         """
         terms = self.terms
         if (
--- a/lupintack/limits/streams.py
+++ b/lupintack/limits/streams.py
@@ -1,14 +1,15 @@
-"""Bounds on the clients' HTTP/2 connections, and when one is ended for its cost. No I/O, no clock.
+"""Limits of the clients' HTTP/2 connections, and when one is closed for its cost. No I/O, no clock.
 
-One `StreamTable` serves a listener. Each connection has an account in it: its streams, the bytes that wait
-on it, and its budgets. All times are whole microseconds that the caller read; nothing here waits or sends.
+One `StreamTable` serves a listener. It has an account for each connection: its streams, its buffered bytes
+and its budgets. All times are whole microseconds that the caller passes in; nothing here blocks or sends.
 
-Shares follow a dynamic threshold: a connection may use `share` times what is still free. What one connection
-can have so shrinks as others come, the one that uses most is the first to be refused, and some capacity is
-always left for a newcomer. With a share of 1 and n busy connections each ends at 1/(n+1) of the whole.
+Shares follow a dynamic threshold: a connection may use `share` times the capacity that is still free. The
+limit of one connection thus shrinks as others connect, the one with the highest use is the first to be
+refused, and some capacity always remains for a new connection. With a share of 1 and n busy connections each
+gets 1/(n+1) of the total.
 
-The decisions on the wire (RFC 9113, section 7): REFUSE is REFUSED_STREAM and is given only to a stream that
-never reached the core, so that a client may retry it, an alert-ack too; CALM is GOAWAY with
+The decisions on the wire (RFC 9113, section 7): REFUSE is REFUSED_STREAM and applies only to a stream that
+did not reach the core, so that a client may retry it, including an alert-ack; CALM is GOAWAY with
 ENHANCE_YOUR_CALM.
 """
 
@@ -18,42 +19,40 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-WRITE_RESERVE_DIVISOR = (
-    8  # of the bytes in all, one in so many is for answers of writes: what ran must be told
-)
+WRITE_RESERVE_DIVISOR = 8  # 1/8 of all bytes is reserved for responses to writes: these may have run
 
 
 class StreamDecision(Enum):
     """A decision about a stream or a connection."""
 
     ACCEPT = auto()
-    REFUSE = auto()  # the stream, untouched
-    AT_CAPACITY = auto()  # the bytes of an answer: it is answered without them
-    CALM = auto()  # the whole connection
+    REFUSE = auto()  # the stream, before any processing
+    AT_CAPACITY = auto()  # the bytes of a response: it is sent without them
+    CALM = auto()  # close the connection
 
 
 class Cost(Enum):
-    """Frames that are free for a client to send, and not for a server to handle."""
+    """Frames that cost a client little to send and a server more to handle."""
 
-    RESET = auto()  # a stream given up, or made to fail, by its client
+    RESET = auto()  # a stream that its client reset or made fail
     CONTROL = auto()  # PING, SETTINGS, PRIORITY, empty DATA
     WINDOW = auto()  # WINDOW_UPDATE
 
 
 class Due(Enum):
-    """Reasons to end a stream or a connection that time has brought."""
+    """Timeouts that end a stream or a connection."""
 
-    STALLED = auto()  # a stream's answer: its window stays shut, or crawls
-    BODY_LATE = auto()  # a stream's request: the rest of it does not come
-    FIRST_LATE = auto()  # a connection: no request has come on it
-    SHUT = auto()  # a connection: its own window stays shut
-    IDLE = auto()  # a connection: nothing has been open on it for long
-    AGED = auto()  # a connection: its time is over
+    STALLED = auto()  # a stream's response: its window stays closed or opens too slowly
+    BODY_LATE = auto()  # a stream's request: it is still incomplete
+    FIRST_LATE = auto()  # a connection: it has had no request
+    SHUT = auto()  # a connection: its own window stays closed
+    IDLE = auto()  # a connection: no stream has been open for too long
+    AGED = auto()  # a connection: its maximum age is reached
 
 
 @dataclass(frozen=True, slots=True)
 class StreamTerms:
-    """The bounds; docs/operating.md says what each protects."""
+    """The limits; docs/operating.md describes what each protects."""
 
     streams: int = 100
     share: float = 1.0
@@ -76,7 +75,7 @@
     windows_burst: int = 10_000
 
     def budget(self, cost: Cost) -> tuple[int, int]:
-        """Return rate per second and burst of a cost."""
+        """Return the rate per second and the burst of a cost."""
         if cost is Cost.RESET:
             return self.resets_per_s, self.resets_burst
         if cost is Cost.CONTROL:
@@ -86,13 +85,13 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """A token bucket that starts full. Levels are millionths of a token: nothing is rounded away."""
+    """A token bucket that starts full. Levels are in millionths of a token, to avoid rounding losses."""
 
     level: int
     at_us: int
 
     def take(self, per_s: int, burst: int, now_us: int) -> bool:
-        """Take one token; return False where there is none."""
+        """Take one token; return False where the bucket is empty."""
         gained = max(0, now_us - self.at_us) * per_s
         self.level = min(burst * 1_000_000, self.level + gained)
         self.at_us = max(self.at_us, now_us)
@@ -104,42 +103,42 @@
 
 @dataclass(slots=True)
 class StallTimer:
-    """Counts how long writing has stalled for want of window, less what was written since."""
+    """Measures how long writing has been blocked by a closed window, until enough bytes are written."""
 
     since_us: int = -1
     accumulated_us: int = 0
     written: int = 0
 
     def on_window_closed(self, now_us: int) -> None:
-        """Begin to count time without window."""
+        """Start counting the time with a closed window."""
         if self.since_us < 0:
             self.since_us = now_us
 
     def on_window_opened(self, now_us: int) -> None:
-        """Stop counting: there is window again."""
+        """Stop counting."""
         if self.since_us >= 0:
             self.accumulated_us += max(0, now_us - self.since_us)
             self.since_us = -1
 
     def on_written(self, count: int, enough: int) -> None:
-        """Guards against a window that opens by a byte at a time: only real progress clears the account."""
+        """Reset the timer after `enough` bytes, so that a window opened byte by byte does not reset it."""
         self.written += count
         if self.written >= enough:
             self.written = self.accumulated_us = 0
 
     def stalled_us(self, now_us: int) -> int:
-        """Return the time without window since the last real progress."""
+        """Return the time with a closed window since the last reset."""
         return self.accumulated_us + (max(0, now_us - self.since_us) if self.since_us >= 0 else 0)
 
 
 @dataclass(slots=True)
 class StreamAccount:
-    """One stream's part of its connection's account."""
+    """One stream's share of its connection's account."""
 
     since_us: int
-    is_accepted: bool = False  # the core has its request
-    request_bytes: int = 0  # bytes of a request that is not whole yet
-    response_bytes: int = 0  # bytes of an answer that are not written yet
+    is_accepted: bool = False  # the core has the request
+    request_bytes: int = 0  # buffered bytes of an incomplete request
+    response_bytes: int = 0  # unwritten bytes of a response
     stall: StallTimer = field(default_factory=StallTimer)
 
 
@@ -153,13 +152,13 @@
     bytes: int = 0
     budgets: dict[Cost, Bucket] = field(default_factory=dict)
     stall: StallTimer = field(default_factory=StallTimer)
-    idle_since_us: int = 0  # since when nothing has been open on it
+    idle_since_us: int = 0  # since when no stream has been open
     had_request: bool = False
     refused: int = 0
 
 
 class StreamTable:
-    """The accounts of one listener's connections. A caller with several threads holds a lock around it."""
+    """The accounts of one listener's connections. Not thread-safe: callers hold a lock."""
 
     def __init__(self, terms: StreamTerms) -> None:
         """Begin with no connections."""
@@ -171,30 +170,33 @@
     # Connections
 
     def connect(self, conn: int, now_us: int, chance: float = 0.0) -> None:
-        """Add a connection; `chance`, in [0, 1), spreads the ends of those that came together."""
+        """Add a connection; `chance`, in [0, 1), spreads the maximum ages of simultaneous connections."""
         age = int(self.terms.age_us * (1.0 - self.terms.age_jitter * chance))
         self.accounts[conn] = ConnectionAccount(now_us, age, idle_since_us=now_us)
 
     def disconnect(self, conn: int) -> None:
-        """Remove a connection, and release all that it used."""
+        """Remove a connection, and release all its streams and bytes."""
         account = self.accounts.pop(conn, None)
         if account is not None:
             self.open -= len(account.streams)
             self.bytes -= account.bytes
 
     def longest_idle(self, now_us: int, young_us: int) -> int | None:
-        """Return the connection that is idle for longest, at least `young_us`, or None."""
-        found = [
+        """Return the connection that is idle for longest, at least `young_us`, or None.
+
+        Connections that have had no request come first.
+        """
+        candidates = [
             (account.had_request, account.idle_since_us, conn)
             for conn, account in self.accounts.items()
             if not account.streams and now_us - account.idle_since_us >= young_us
         ]
-        return min(found)[2] if found else None
+        return min(candidates)[2] if candidates else None
 
     # Streams
 
     def open_stream(self, conn: int, stream: int, now_us: int, free: int) -> StreamDecision:
-        """Decide on a new request; `free` is how many more the core would take."""
+        """Decide on a new request; `free` is the number of further requests that the core accepts."""
         account = self.accounts.get(conn)
         if account is None:
             return StreamDecision.REFUSE
@@ -217,7 +219,7 @@
         return StreamDecision.ACCEPT
 
     def add_request_bytes(self, conn: int, stream: int, count: int) -> StreamDecision:
-        """Decide on bytes of a request's body that wait for the rest of it."""
+        """Decide on bytes of a request's body, which are buffered until it is complete."""
         account, stream_account = self._find(conn, stream)
         if account is None or stream_account is None:
             return StreamDecision.REFUSE
@@ -229,7 +231,7 @@
         return StreamDecision.ACCEPT
 
     def accept_request(self, conn: int, stream: int) -> None:
-        """Note that the core has the complete request: its bytes are the core's."""
+        """Record that the core has the complete request, and release its bytes."""
         account, stream_account = self._find(conn, stream)
         if account is not None and stream_account is not None:
             stream_account.is_accepted = True
@@ -238,7 +240,7 @@
             stream_account.request_bytes = 0
 
     def add_response_bytes(self, conn: int, stream: int, count: int, write: bool) -> StreamDecision:
-        """Decide on an answer's bytes; AT_CAPACITY: it is sent without them, as one that is not served."""
+        """Decide on a response's bytes; on AT_CAPACITY an error response without them is sent."""
         account, stream_account = self._find(conn, stream)
         if account is None or stream_account is None:
             return StreamDecision.AT_CAPACITY
@@ -251,14 +253,14 @@
             account, count, max_bytes
         ):
             return StreamDecision.AT_CAPACITY
-        stream_account.is_accepted = True  # also one that is answered before its request is whole
+        stream_account.is_accepted = True  # also for a response before the request is complete
         stream_account.response_bytes += count
         account.bytes += count
         self.bytes += count
         return StreamDecision.ACCEPT
 
     def release_response_bytes(self, conn: int, stream: int, count: int) -> None:
-        """Release bytes of an answer that are out."""
+        """Release bytes of a response that have been written."""
         account, stream_account = self._find(conn, stream)
         if account is not None and stream_account is not None:
             count = min(count, stream_account.response_bytes)
@@ -269,7 +271,7 @@
             account.stall.on_written(count, self.terms.crawl_bytes)
 
     def on_window_closed(self, conn: int, stream: int, now_us: int) -> None:
-        """Note that a stream's answer waits for window; stream 0 is the connection's own."""
+        """Record that a closed window blocks a stream's response; stream 0 is the connection's own window."""
         account = self.accounts.get(conn)
         if account is not None:
             stream_account = account.streams.get(stream)
@@ -279,7 +281,7 @@
                 stream_account.stall.on_window_closed(now_us)
 
     def on_window_opened(self, conn: int, stream: int, now_us: int) -> None:
-        """Note that it has window again."""
+        """Record that the window is open again."""
         account = self.accounts.get(conn)
         if account is not None:
             stream_account = account.streams.get(stream)
@@ -289,7 +291,7 @@
                 stream_account.stall.on_window_opened(now_us)
 
     def close_stream(self, conn: int, stream: int, now_us: int) -> None:
-        """Release a stream that is over: answered and written, reset, or refused late."""
+        """Release a stream that has ended: its response is written, or it was reset or refused late."""
         account = self.accounts.get(conn)
         stream_account = account.streams.pop(stream, None) if account is not None else None
         if account is not None and stream_account is not None:
@@ -299,10 +301,10 @@
             if not account.streams:
                 account.idle_since_us = now_us
 
-    # Budgets and time
+    # Budgets and timeouts
 
     def charge(self, conn: int, cost: Cost, now_us: int) -> StreamDecision:
-        """Decide on a frame that costs; CALM where the connection has sent more than its budget."""
+        """Charge a frame to its budget; return CALM where the connection has exceeded it."""
         account = self.accounts.get(conn)
         if account is None:
             return StreamDecision.ACCEPT
@@ -313,7 +315,7 @@
         return StreamDecision.ACCEPT if bucket.take(per_s, burst, now_us) else StreamDecision.CALM
 
     def due(self, now_us: int) -> Iterator[tuple[int, int, Due]]:
-        """Yield connection, stream (0: all of it) and the reason for each end that is due."""
+        """Yield connection, stream (0: the whole connection) and reason of each timeout that is due."""
         terms = self.terms
         for conn, account in list(self.accounts.items()):
             if account.stall.stalled_us(now_us) > terms.window_shut_us:
@@ -334,7 +336,7 @@
                     yield conn, stream, Due.STALLED
 
     def explain(self) -> dict[str, int]:
-        """Return connections, streams, bytes, and the streams of the fullest connection."""
+        """Return the counts of connections, streams, bytes, streams of the fullest connection, refusals."""
         fullest = max((len(a.streams) for a in self.accounts.values()), default=0)
         refused = sum(a.refused for a in self.accounts.values())
         return {
@@ -343,10 +345,10 @@
         }  # fmt: skip
 
     def _fits(self, account: ConnectionAccount, count: int, max_bytes: int) -> bool:
-        own = account.bytes + count
+        total = account.bytes + count
         share = self.terms.share * max(0, max_bytes - self.bytes)
         return (
-            own <= self.terms.connection_bytes and self.bytes + count <= max_bytes and account.bytes < share
+            total <= self.terms.connection_bytes and self.bytes + count <= max_bytes and account.bytes < share
         )
 
     def _find(self, conn: int, stream: int) -> tuple[ConnectionAccount | None, StreamAccount | None]:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -147,10 +147,10 @@
 
 def test_a_drain_tells_twice_and_ends_once() -> None:
     drain = Drain()
-    assert drain.accepts_streams() and not drain.finish(0, immediately=True)
+    assert drain.accepts_streams() and not drain.finalize(0, immediately=True)
     assert drain.begin(5) and not drain.begin(6)
-    assert drain.accepts_streams() and not drain.finish(5 + GRACE_US - 1)
-    assert drain.finish(6, ping_acknowledged=True) and not drain.finish(10**9)
+    assert drain.accepts_streams() and not drain.finalize(5 + GRACE_US - 1)
+    assert drain.finalize(6, ping_acknowledged=True) and not drain.finalize(10**9)
     assert not drain.accepts_streams() and not drain.complete(1, 0) and not drain.complete(0, 1)
     assert drain.complete(0, 0) and not drain.complete(0, 0) and drain.phase is DrainPhase.CLOSED
 
