--- a/lupintack/discovery/client.py
+++ b/lupintack/discovery/client.py
@@ -1,7 +1,7 @@
 """The client of the discovery service: it watches the log of events and fills the member table.
 
-It runs on one thread, which reconnects for as long as the process lives. The member table is confirmed only
-by a revision that proves it current (see `RevisionTracker`).
+It runs on one thread, which reconnects until the process ends. The member table is confirmed only by a
+revision that proves it current (see `RevisionTracker`).
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 LOG = logging.getLogger("discovery")
 SILENCE_TIMEOUT_S = 1.8  # discovery sends a line each second
-SLOW_TIMEOUT_FACTOR = 2  # longer timeout of every second connection in a row that brings no line
-CONNECT_TIMEOUT_S = 1.0  # with SILENCE_TIMEOUT_S well under the 4 s after which a change counts as notified
+SLOW_TIMEOUT_FACTOR = 2  # longer timeout of every second consecutive connection without a line
+CONNECT_TIMEOUT_S = 1.0  # plus SILENCE_TIMEOUT_S: well below the 4 s after which a change counts as notified
 RECONNECT_DELAY_S = 0.2
-FAST_RECONNECT_DELAY_S = RECONNECT_DELAY_S / 10  # after a connection that brought a line
-RECONNECT_JITTER = 0.4  # part of the delay; without it all routers would reconnect at the same moment
-PROOF_WAIT_S = 0.05  # after events on a new connection: a watch that has all of them may be answered at once
-MAX_EARLY_RECONNECTS = 2  # in a row, until one connection proves the list current
+FAST_RECONNECT_DELAY_S = RECONNECT_DELAY_S / 10  # after a connection that received a line
+RECONNECT_JITTER = 0.4  # share of the delay; without it all routers would reconnect simultaneously
+PROOF_WAIT_S = 0.05  # after events on a new connection; a watch that is current may get a proof immediately
+MAX_EARLY_RECONNECTS = 2  # consecutive, until a connection proves the list current
 MAX_READS_AFTER_PROOF = 16
 MIN_WAIT_S = 0.01
 MAX_LOGGED_LINE_BYTES = 100
@@ -49,7 +49,7 @@
     def __init__(
         self, address: tuple[str, int] | None, names: Names, member_table: MemberTable, seed: int = 0
     ) -> None:
-        """Without an `address` the client follows nothing; `seed` draws the jitter of the reconnects."""
+        """Without an `address` the client does not connect; `seed` seeds the jitter of the reconnects."""
         self.address = address
         self.member_table = member_table
         member_table.has_unread = self.has_unread
@@ -58,12 +58,12 @@
         self.applier = EventApplier(names, member_table, self.counters)
         self.lock = threading.Lock()  # guards the applier: the reader of an old address may still run
         self.sock: socket.socket | None = None
-        self.unread: UnreadBytes | None = None  # of that connection
-        self.generation = 0  # counts changes of the address: the reader of an earlier one ends
+        self.unread: UnreadBytes | None = None  # of the open connection
+        self.generation = 0  # counts changes of the address; readers of earlier generations end
         self.stopped = threading.Event()
         self.started = False
-        self.early_reconnects = 0  # in a row
-        self.silent_connections = 0  # connections in a row that have brought no line yet
+        self.early_reconnects = 0  # consecutive
+        self.silent_connections = 0  # consecutive connections that have received no line
 
     @property
     def last_revision(self) -> int:
@@ -75,7 +75,7 @@
         self.applier.load_initial_log(known)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Follow discovery at another address on a new thread; no pending read of the old one delays that."""
+        """Follow discovery at another address on a new thread, without waiting for reads from the old one."""
         with self.lock:
             if address == self.address:
                 return
@@ -89,7 +89,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def start(self, spawn: Callable[[Callable[[], None], str], None]) -> None:
-        """Run on a thread that `spawn` starts, unless that was done before."""
+        """Run on a thread that `spawn` starts, unless already started."""
         if not self.started:
             self.started = True
             spawn(self.run, "discovery")
@@ -120,7 +120,7 @@
                 LOG.info("discovery connection lost", extra=fields(reason=error, last=self.last_revision))
 
     def reconnect_delay_s(self, received_line: bool) -> float:
-        """Return the delay before the next connection, after one that did or didn't bring a line."""
+        """Return the delay before the next connection; it depends on whether the last one received a line."""
         delay_s = FAST_RECONNECT_DELAY_S if received_line else RECONNECT_DELAY_S
         return delay_s * self.random.uniform(1.0 - RECONNECT_JITTER, 1.0 + RECONNECT_JITTER)
 
@@ -136,7 +136,7 @@
         while generation == self.generation and not self.stopped.is_set():
             unread.before_read()
             self.wait_for_bytes(lines, sock)
-            # Before the read: a pause behind it must find what was read, and is not in the table, noted.
+            # Before the read: bytes read but not yet in the table must count as pending after a pause.
             arrived_us = unread.oldest_us()
             if now_us() - arrived_us > MAX_UNAPPLIED_US:
                 self.counters.increment("discovery.late_reads")
@@ -151,8 +151,8 @@
     def wait_for_bytes(self, lines: LineBuffer, sock: socket.socket) -> None:
         """Wait for the next bytes.
 
-        Raises TimeoutError where discovery has fallen silent, and EarlyReconnectError where a new connection
-        could prove the list sooner: discovery sends its last revision at once to a watch that misses nothing,
+        Raises TimeoutError where discovery is silent, and EarlyReconnectError where a new connection could
+        prove the list sooner: discovery sends its last revision immediately to a watch that misses no event,
         but up to a second after events.
         """
         timeout_s = max(MIN_WAIT_S, (lines.deadline_us - now_us()) / 1e6)
@@ -165,26 +165,26 @@
             wait_for_bytes(sock, PROOF_WAIT_S)
         except TimeoutError:
             self.early_reconnects += 1
-            raise EarlyReconnectError("events received, but no proof that they are all") from None
+            raise EarlyReconnectError("events received, but no proof that the list is complete") from None
 
     def has_unread(self) -> bool:
         """Return whether bytes from discovery may have been unread for long; called before each write.
 
-        After a pause of the process a client's thread may run before the reader, and would act on what was
-        true before the pause.
+        After a pause of the process a client's thread may run before the reader, and would act on the state
+        from before the pause.
         """
         unread = self.unread
         if unread is None:
             return False
         try:
-            return unread.is_any() and now_us() - unread.oldest_us() > MAX_UNAPPLIED_US
-        except (OSError, ValueError):  # closed just now
+            return unread.has_any() and now_us() - unread.oldest_us() > MAX_UNAPPLIED_US
+        except (OSError, ValueError):  # closed concurrently
             return False
 
     def silence_timeout_s(self) -> float:
-        """Return how long a new connection may bring no line.
+        """Return the timeout for the first line of a new connection.
 
-        Every second one waits longer, so that a discovery that is slow can still prove the list.
+        Every second connection has a longer one, so that a slow discovery can still prove the list.
         """
         if self.silent_connections % 2:
             return SILENCE_TIMEOUT_S * SLOW_TIMEOUT_FACTOR
@@ -193,7 +193,7 @@
     def read_after_proof(
         self, lines: LineBuffer, sock: socket.socket, unread: UnreadBytes, generation: int
     ) -> None:
-        """Read what is queued behind a proof: an old proof may have a drain right behind it."""
+        """Read the bytes queued after a proof: an old proof may be followed directly by a drain."""
         sock.settimeout(0.0)
         for _ in range(MAX_READS_AFTER_PROOF if lines.proved_us else 0):
             unread.before_read()
@@ -210,9 +210,9 @@
             return watch_request(self.applier.begin_watch())
 
     def receive(self, lines: LineBuffer, received: ReceivedBytes, generation: int) -> None:
-        """Process bytes of a connection; none mean that discovery closed it.
+        """Process bytes of a connection; empty data means that discovery closed it.
 
-        Raises ConnectionError or ValueError where the connection has to end.
+        Raises ConnectionError or ValueError where the connection has to be closed.
         """
         if not received.data:
             raise ConnectionResetError("closed by discovery")
@@ -225,7 +225,7 @@
                     self.silent_connections = 0
 
     def confirm_table(self, lines: LineBuffer, generation: int) -> None:
-        """Confirm the member table after the events that came before the proof."""
+        """Confirm the member table after applying the events that preceded the proof."""
         with self.lock:
             if lines.proved_us and generation == self.generation:
                 self.member_table.confirm(lines.proved_us)
@@ -249,8 +249,8 @@
     def _record_proof(self, lines: LineBuffer) -> None:
         """Record as of when the table is proved current.
 
-        A connection's first revision proves only that nothing from before the connection is missing; a later
-        one proves nothing about the time after its arrival, however late it is read.
+        A connection's first revision proves only that no event from before the connection is missing; a later
+        one proves nothing about the time after its arrival, even when it is read much later.
         """
         lines.proved_us = lines.received_us if lines.has_proof else lines.connected_us
         lines.has_proof = True
--- a/lupintack/discovery/complete_log.py
+++ b/lupintack/discovery/complete_log.py
@@ -1,4 +1,4 @@
-"""The complete discovery log folded into one endpoint list and the purges that are new. Pure."""
+"""Folds the complete discovery log into one endpoint list and the new purges. Pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 class CompleteLog:
     """The log read from its beginning, to replace the member table in one step.
 
-    Applied one by one, an early event would make an endpoint ready again for a moment that has drained since.
+    Applying the events one by one could briefly make an endpoint ready that a later event drains.
     """
 
     def __init__(self, applied_revision: int) -> None:
-        """Purges up to `applied_revision` are in the member table already and are not collected."""
+        """Collect only purges after `applied_revision`; the member table already has the others."""
         self.applied_revision = applied_revision
         self.has_complete_list = False
         self.version = 0
--- a/lupintack/discovery/connection.py
+++ b/lupintack/discovery/connection.py
@@ -1,4 +1,4 @@
-"""A connection to discovery: waiting for bytes, and cutting them into lines."""
+"""A connection to discovery: waits for bytes, and splits them into lines."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ReceivedBytes(NamedTuple):
-    """Bytes of a connection and when the first of them arrived, at the earliest.
+    """Bytes of a connection and the earliest time at which the first of them can have arrived.
 
-    A process that was paused reads them long after that.
+    After a pause of the process they may be read long after that.
     """
 
     data: bytes
@@ -22,7 +22,7 @@
 
 
 class LineBuffer:
-    """Cuts a connection's bytes into lines, and keeps what the connection has proved so far.
+    """Splits a connection's bytes into lines, and records what the connection has proved so far.
 
     Only complete lines extend the deadline: a line that arrives byte by byte does not show that discovery
     works.
@@ -33,8 +33,8 @@
         self.partial_line = bytearray()
         self.deadline_us = connected_us + int(timeout_s * 1e6)
         self.connected_us = connected_us
-        self.received_us = connected_us  # when the bytes of the last read arrived, at the earliest
-        self.proved_us = 0  # as of when the table is proved current; 0: no proof, or it is passed on already
+        self.received_us = connected_us  # earliest arrival time of the bytes of the last read
+        self.proved_us = 0  # as of when the table is proved current; 0: no proof that is not yet passed on
         self.has_proof = False  # a revision of this connection has proved the table current
         self.event_count = 0
 
--- a/lupintack/discovery/event_applier.py
+++ b/lupintack/discovery/event_applier.py
@@ -1,4 +1,4 @@
-"""Application of discovery's events to the member table, once each and in order of their revisions."""
+"""Applies discovery's events to the member table, once each and in the order of their revisions."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 
 class GapError(ValueError):
-    """An event is missing: the connection ends, and the next one asks for it."""
+    """An event is missing: the connection has to be closed, and the next one requests it."""
 
 
 class EventApplier:
-    """Decides by the revisions what to do with each line, and does it. Not thread-safe."""
+    """Selects and performs the action for each line by its revision. Not thread-safe."""
 
     def __init__(self, names: Names, member_table: MemberTable, counters: Counters) -> None:
-        """Begin at revision 0; `names`: of the zones and kinds that endpoints refer to."""
+        """Begin at revision 0; `names` holds the zones and kinds that endpoints refer to."""
         self.names = names
         self.member_table = member_table
         self.counters = counters
         self.revisions = RevisionTracker()
-        self.complete_log = CompleteLog(0)  # what has arrived of it, where the connection reads it
+        self.complete_log = CompleteLog(0)  # the part received so far, on a connection that reads it
 
     @property
     def last_revision(self) -> int:
@@ -51,14 +51,14 @@
         """Apply the events of the configuration. They prove nothing: their age is unknown."""
         log = parse_initial_log(known)
         events = [self._parse_notice(notice) for notice in log.raw_events]
-        # All timestamps first: each one bounds the offset of the log's clock, and so the age of the others.
+        # All timestamps first: each bounds the offset of the log's clock, and so the age of all events.
         self.member_table.observe_timestamps(event_timestamps_unix_ms(events))
         for event in events:
             self._apply(event)
         self.revisions.last_revision = max(self.last_revision, log.revision)
 
     def begin_watch(self) -> int:
-        """Begin a new connection; return the revision after which it asks for events."""
+        """Begin a new connection; return the revision after which it requests events."""
         self.complete_log = CompleteLog(self.last_revision)
         return self.revisions.begin_watch()
 
@@ -81,7 +81,7 @@
                 self.counters.increment("discovery.behind")
             case RevisionAction.RECONNECT | RevisionAction.RECONNECT_FROM_START:
                 self.counters.increment("discovery.gap")
-                raise GapError(f"{line.revision} came after {self.last_revision}")
+                raise GapError(f"{line.revision} received after {self.last_revision}")
         return False
 
     def _parse_notice(self, notice: Any) -> Event | None:
@@ -95,7 +95,7 @@
             return None
 
     def _apply(self, event: Event | None) -> None:
-        """Apply an event, unless it is unusable or older than what the table has."""
+        """Apply an event, unless it is unusable or already in the table."""
         if event is None or event.revision <= self.last_revision:
             return
         if isinstance(event, ListEvent):
@@ -123,6 +123,6 @@
             self.member_table.purge(purge.object_id, purge.group, purge.unix_ms)
         self.revisions.mark_replaced(revision if log.has_complete_list else self.last_revision)
         self.counters.increment("discovery.replaced" if log.has_complete_list else "discovery.not_replaced")
-        found = fields(events=log.event_count, list=log.has_complete_list, last=self.last_revision)
-        LOG.warning("complete discovery log read", extra=found)
+        summary = fields(events=log.event_count, list=log.has_complete_list, last=self.last_revision)
+        LOG.warning("complete discovery log read", extra=summary)
         return log.has_complete_list
--- a/lupintack/discovery/events.py
+++ b/lupintack/discovery/events.py
@@ -1,4 +1,4 @@
-"""The discovery wire: JSON lines in, typed events out. Only this module knows its field names. Pure."""
+"""Parses discovery's JSON lines into typed events. Its field names are used only in this module. Pure."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class EventError(ValueError):
-    """An event that cannot be used; the text says why."""
+    """An event that cannot be used; the message holds the reason."""
 
 
 class LineError(ValueError):
-    """A line that holds neither an event nor a revision; the text says why."""
+    """A line that holds neither an event nor a revision; the message holds the reason."""
 
 
 class DiscoveryLine(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 class InitialLog(NamedTuple):
-    """The notices that the configuration carries, and the revision that they lead to."""
+    """The notices in the configuration, and the revision of their last one."""
 
     revision: int
     raw_events: tuple[Any, ...]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeEvent:
-    """A purge of an object, or of a group where `object_id` is None: older copies are stale."""
+    """A purge of an object, or of a group where `object_id` is None: it makes older copies stale."""
 
     revision: int
     object_id: int | None
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherEvent:
-    """An event of an unknown kind: only its revision counts."""
+    """An event of an unknown kind: only its revision is used."""
 
     revision: int
 
@@ -82,7 +82,7 @@
 
 
 def watch_request(revision: int) -> bytes:
-    """Return the request for the events after `revision`; 0 asks for the log from its beginning."""
+    """Return the request for the events after `revision`; 0 requests the log from its beginning."""
     return b"watch %d\n" % revision
 
 
@@ -95,13 +95,13 @@
     is_object = isinstance(value, dict)
     revision = value.get("rev") if is_object else value
     if not isinstance(revision, int) or isinstance(revision, bool):
-        raise LineError("no number")
+        raise LineError("no revision number")
     # A revision alone comes as a bare number or as an object with no other key.
     return DiscoveryLine(revision, value if is_object and len(value) > 1 else None)
 
 
 def parse_initial_log(known: Mapping[str, Any]) -> InitialLog:
-    """Read the log that the configuration carries; its notices are not parsed yet."""
+    """Read the log in the configuration, without parsing its notices."""
     return InitialLog(int(known.get("rev", 0)), tuple(known.get("notices", [])))
 
 
@@ -147,5 +147,5 @@
 
 
 def event_timestamps_unix_ms(events: Iterable[Event | None]) -> list[float]:
-    """Return the timestamps of all events, in Unix milliseconds; None stands for an unusable event."""
+    """Return the timestamps of all events, in Unix milliseconds; None is an unusable event."""
     return [stamp for event in events if event is not None for stamp in event.timestamps_unix_ms()]
--- a/lupintack/discovery/revisions.py
+++ b/lupintack/discovery/revisions.py
@@ -1,26 +1,26 @@
 """A watch's position in discovery's log of numbered events. Pure.
 
-A list that was current once need not be current now: the watch has caught up only when the open connection
-sends a revision that equals the last one applied. A line of an older connection, a partial line or a lower
-revision proves nothing.
+A list that was current may since have changed: the watch has caught up only when the open connection sends a
+revision that equals the last one applied. A line of an older connection, a partial line or a lower revision
+is no proof.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-MAX_STALE_REVISIONS = 3  # lower revisions in a row on one connection: discovery has a different log
-GAP_RECONNECTS = 2  # a gap that persists after so many new connections is skipped
+MAX_STALE_REVISIONS = 3  # consecutive lower revisions on one connection: discovery has a different log
+GAP_RECONNECTS = 2  # a gap that persists after this many new connections is skipped
 
 
 class RevisionAction(Enum):
-    """What the client does about a line."""
+    """The action of the client for a line."""
 
     APPLY = "apply"  # the next event
     ALREADY_APPLIED = "already applied"
     COLLECT = "collect"  # an event of the complete log, which replaces the table at its end
     CAUGHT_UP = "caught up"  # no event before this line is missing
-    STALE = "lower revision"  # a lower revision: it proves nothing
+    STALE = "lower revision"  # a lower revision: no proof
     REPLACE = "replace"  # the complete log has been read: it replaces the table
     RECONNECT = "reconnect"  # an event is missing: a new watch from the last revision
     RECONNECT_FROM_START = "reconnect from start"  # it is still missing: a new watch from the beginning
@@ -39,7 +39,7 @@
         self.stale_count = 0
 
     def begin_watch(self) -> int:
-        """Begin a new connection; return the revision after which it asks for events."""
+        """Begin a new connection; return the revision after which it requests events."""
         self.reads_complete_log, self.needs_complete_log = self.needs_complete_log, False
         self.stale_count = 0
         return 0 if self.reads_complete_log else self.last_revision
--- a/lupintack/discovery/setup.py
+++ b/lupintack/discovery/setup.py
@@ -1,4 +1,4 @@
-"""Construction of the member table and of the client that fills it, from a process's configuration."""
+"""Builds the member table and the client that fills it from a process's configuration."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Discovery(NamedTuple):
-    """The two parts that follow discovery in one process."""
+    """The member table and the discovery client of one process."""
 
     member_table: MemberTable
     client: DiscoveryClient
@@ -20,8 +20,8 @@
 def build_discovery(conf: Config) -> Discovery:
     """Build both parts with the events of the configuration; the caller starts the client's thread.
 
-    That thread may run before the rest of the router exists: the first proof that the list is current takes
-    up to a second after the connection, and the start goes on meanwhile.
+    That thread may run before the rest of the router is built: the first proof that the list is current takes
+    up to a second after the connection, and the start continues in the meantime.
     """
     member_table = MemberTable(conf.settings.purge_settle_ms, conf.settings.origin_kind)
     if conf.discovery_address is not None:
--- a/lupintack/discovery/unread.py
+++ b/lupintack/discovery/unread.py
@@ -1,4 +1,4 @@
-"""How long bytes of discovery's can have lain unread on a connection: a bound that no later byte moves."""
+"""Bounds how long bytes from discovery may have been unread; later bytes do not change the bound."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class UnreadMark(NamedTuple):
-    """What the reader saw before its last read; replaced as a whole, as any thread may look."""
+    """The reader's state before its last read; replaced as a whole, since any thread may read it."""
 
-    earliest_us: int  # the first byte that was not read then arrived at this moment or later
-    segments: int  # that had arrived, where all of them had been read; else UNKNOWN_SEGMENTS
+    earliest_us: int  # lower bound on the arrival of the first byte that was unread then
+    segments: int  # count of arrived segments, where all were read; else UNKNOWN_SEGMENTS
 
 
 class UnreadBytes:
-    """Watches what lies unread on one connection. The reader's thread looks before and after each read."""
+    """Tracks the unread bytes of one connection. The reader's thread updates it around each read."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take a connection that has just come up."""
+        """Begin with a connection that has just been established."""
         self._sock = sock
         established_us = now_us() - sockets.since_established_us(sock)
         self._arrivals = Arrivals(established_us)
         self._mark = UnreadMark(established_us, UNKNOWN_SEGMENTS)
 
     def before_read(self) -> None:
-        """Look what has arrived; called by the reader before it waits."""
+        """Record what has arrived; called by the reader before it waits."""
         info = self._receive_info()
         self._arrivals.before_read(now_us(), info)
         is_empty = info is not None and info.bytes_received == self._arrivals.received
@@ -39,19 +39,19 @@
         self._mark = UnreadMark(self._arrivals.next_unread_us(), segments)
 
     def after_read(self, length: int) -> int:
-        """Note a read; return the earliest moment at which its first byte can have arrived.
+        """Record a read; return the earliest time at which its first byte can have arrived.
 
-        Whether the reader alone was kept from running is not known: bytes of several segments may have
-        arrived at any moment since the look before the read.
+        Whether only the reader's thread was delayed is unknown: bytes of several segments may have arrived at
+        any time since the check before the read.
         """
         earliest_us = self.oldest_us()
         self._arrivals.after_read(length, now_us(), sockets.receive_info(self._sock), earliest_us)
         return self._arrivals.consume_from_first(length)
 
     def oldest_us(self) -> int:
-        """Return the earliest moment at which the first unread byte can have arrived; safe on any thread.
+        """Return the earliest time at which the first unread byte can have arrived; safe on any thread.
 
-        Where the kernel tells only of the last bytes, all count as young as these.
+        Where the kernel reports only on the last bytes, all unread bytes are dated by these.
         """
         mark = self._mark
         info = self._receive_info()
@@ -62,12 +62,12 @@
         return mark.earliest_us
 
     def _receive_info(self) -> sockets.ReceiveInfo | None:
-        """Return what has arrived; None where the kernel does not tell, or counts less than was read."""
+        """Return what has arrived; None where the kernel reports nothing, or less than was read."""
         info = sockets.receive_info(self._sock)
         return info if info is not None and info.bytes_received >= self._arrivals.received else None
 
-    def is_any(self) -> bool:
-        """Return whether bytes or the end of the stream lie unread. Raises ValueError once it is closed."""
+    def has_any(self) -> bool:
+        """Return whether bytes or the end of the stream are unread. Raises ValueError once closed."""
         return is_readable(self._sock, 0.0)
 
 
--- a/lupintack/discovery/validity.py
+++ b/lupintack/discovery/validity.py
@@ -1,8 +1,8 @@
 """How long an endpoint list may be used after the last proof that it was current. Pure.
 
-By the platform's protocol a change counts as notified 7 s later at the latest, whether its notice arrived or
-not; the grace for drains, or for purges, begins there. A list that was current at a moment may therefore be
-used until that moment plus both.
+By the platform's protocol a change counts as notified at most 7 s later, whether its notice arrived or not;
+the grace period for drains or purges begins then. A list that was current at some time may therefore be used
+until that time plus both periods.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from lupintack.interface import Settings
 
 MAX_NOTICE_DELAY_US = 7_000_000
-SAFETY_MARGIN_US = 200_000  # for a line's transfer, and for a call between its check and its first byte
+SAFETY_MARGIN_US = 200_000  # for a line's transfer, and from a call's check to its first byte
 
 
 def validity_us(settings: Settings) -> int:
