--- a/tests/test_descriptor_plan.py
+++ b/tests/test_descriptor_plan.py
@@ -1,4 +1,4 @@
-"""The division of a process's descriptors, as it was before it had a module of its own."""
+"""The division of a process's descriptors; the figures date from before it had its own module."""
 
 from __future__ import annotations
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""limits/streams.py and limits/drain.py: tables of cases, and rules over arbitrary sequences."""
+"""Tests limits/streams.py and limits/drain.py with tables of cases and with arbitrary sequences of steps."""
 
 from __future__ import annotations
 
@@ -21,131 +21,133 @@
 SECOND = 1_000_000
 
 
-def filled(book: StreamTable, conn: int, count: int, free: int = 1000) -> list[StreamDecision]:
-    return [book.open_stream(conn, 2 * n + 1, 0, free) for n in range(count)]
+def open_streams(table: StreamTable, conn: int, count: int, free: int = 1000) -> list[StreamDecision]:
+    return [table.open_stream(conn, 2 * n + 1, 0, free) for n in range(count)]
 
 
-def test_a_connection_has_its_streams_and_no_more() -> None:
-    book = StreamTable(StreamTerms(streams=3))
-    book.connect(1, 0)
-    assert filled(book, 1, 4) == [StreamDecision.ACCEPT] * 3 + [StreamDecision.REFUSE]
-    book.close_stream(1, 1, 0)
-    assert book.open_stream(1, 9, 0, 1000) is StreamDecision.ACCEPT
+def test_streams_of_a_connection_are_limited() -> None:
+    table = StreamTable(StreamTerms(streams=3))
+    table.connect(1, 0)
+    assert open_streams(table, 1, 4) == [StreamDecision.ACCEPT] * 3 + [StreamDecision.REFUSE]
+    table.close_stream(1, 1, 0)
+    assert table.open_stream(1, 9, 0, 1000) is StreamDecision.ACCEPT
 
 
-def test_the_connection_that_holds_most_is_turned_away_first() -> None:
-    """With 20 free requests a greedy connection ends at half, and a newcomer still gets in."""
-    book = StreamTable(StreamTerms(streams=100, open_requests=20))
+def test_connection_with_most_streams_is_refused_first() -> None:
+    """With 20 free requests a greedy connection gets half of them, and a new one is still accepted."""
+    table = StreamTable(StreamTerms(streams=100, open_requests=20))
     for conn in (1, 2):
-        book.connect(conn, 0)
-    taken = filled(book, 1, 30).count(StreamDecision.ACCEPT)
-    assert taken == 10
-    assert book.open_stream(1, 99, 0, 1000) is StreamDecision.REFUSE
-    assert book.open_stream(2, 1, 0, 1000) is StreamDecision.ACCEPT
+        table.connect(conn, 0)
+    accepted_count = open_streams(table, 1, 30).count(StreamDecision.ACCEPT)
+    assert accepted_count == 10
+    assert table.open_stream(1, 99, 0, 1000) is StreamDecision.REFUSE
+    assert table.open_stream(2, 1, 0, 1000) is StreamDecision.ACCEPT
 
 
-def test_a_full_core_refuses_whom_holds_most_and_then_all() -> None:
-    book = StreamTable(TERMS)
-    book.connect(1, 0)
-    assert book.open_stream(1, 1, 0, free=1) is StreamDecision.ACCEPT
-    assert book.open_stream(1, 3, 0, free=1) is StreamDecision.REFUSE
-    book.connect(2, 0)
-    assert book.open_stream(2, 1, 0, free=1) is StreamDecision.ACCEPT
-    assert book.open_stream(2, 3, 0, free=0) is StreamDecision.REFUSE
+def test_core_near_capacity_refuses_largest_connection_then_all() -> None:
+    table = StreamTable(TERMS)
+    table.connect(1, 0)
+    assert table.open_stream(1, 1, 0, free=1) is StreamDecision.ACCEPT
+    assert table.open_stream(1, 3, 0, free=1) is StreamDecision.REFUSE
+    table.connect(2, 0)
+    assert table.open_stream(2, 1, 0, free=1) is StreamDecision.ACCEPT
+    assert table.open_stream(2, 3, 0, free=0) is StreamDecision.REFUSE
 
 
-def test_bytes_are_bounded_by_stream_connection_and_in_all_with_a_reserve_for_writes() -> None:
-    book = StreamTable(TERMS)
+def test_bytes_are_limited_per_stream_connection_and_in_total_with_reserve_for_writes() -> None:
+    table = StreamTable(TERMS)
     for conn in range(4):
-        book.connect(conn, 0)
-        filled(book, conn, 2)
-    assert book.add_response_bytes(0, 1, 101, False) is StreamDecision.AT_CAPACITY
-    assert book.add_response_bytes(0, 1, 100, False) is StreamDecision.ACCEPT
-    assert book.add_response_bytes(0, 3, 100, False) is StreamDecision.ACCEPT
-    assert book.add_response_bytes(1, 1, 100, False) is StreamDecision.ACCEPT
-    assert book.add_response_bytes(2, 1, 60, False) is StreamDecision.AT_CAPACITY, "reads leave an eighth"
-    assert book.add_response_bytes(2, 1, 60, True) is StreamDecision.ACCEPT
-    book.release_response_bytes(0, 1, 100)
-    assert book.bytes == 260
-    book.disconnect(0)
-    assert book.bytes == 160 and book.open == 6
-
-
-def test_a_request_body_counts_until_the_core_has_it() -> None:
-    book = StreamTable(TERMS)
-    book.connect(1, 0)
-    filled(book, 1, 1)
-    assert book.add_request_bytes(1, 1, 150) is StreamDecision.ACCEPT
-    assert book.add_request_bytes(1, 1, 60) is StreamDecision.REFUSE
-    book.accept_request(1, 1)
-    assert book.bytes == 0
-
-
-def test_budgets_hold_bursts_and_rates() -> None:
-    book = StreamTable(StreamTerms(resets_per_s=2, resets_burst=3))
-    book.connect(1, 0)
-    spent = [book.charge(1, Cost.RESET, 0) for _ in range(4)]
-    assert spent == [StreamDecision.ACCEPT] * 3 + [StreamDecision.CALM]
-    assert book.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.ACCEPT
-    assert book.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.CALM
-    assert book.charge(1, Cost.CONTROL, SECOND // 2) is StreamDecision.ACCEPT, "each kind has its own"
-
-
-def due(book: StreamTable, now: int) -> list[tuple[int, Due]]:
-    return [(stream, what) for _, stream, what in book.due(now)]
-
-
-def test_a_window_that_stays_shut_or_opens_by_a_byte_ends_the_stream_and_only_it() -> None:
-    book = StreamTable(TERMS)
-    book.connect(1, 0)
-    filled(book, 1, 3)
+        table.connect(conn, 0)
+        open_streams(table, conn, 2)
+    assert table.add_response_bytes(0, 1, 101, False) is StreamDecision.AT_CAPACITY
+    assert table.add_response_bytes(0, 1, 100, False) is StreamDecision.ACCEPT
+    assert table.add_response_bytes(0, 3, 100, False) is StreamDecision.ACCEPT
+    assert table.add_response_bytes(1, 1, 100, False) is StreamDecision.ACCEPT
+    assert table.add_response_bytes(2, 1, 60, False) is StreamDecision.AT_CAPACITY, (
+        "an eighth is reserved for writes"
+    )
+    assert table.add_response_bytes(2, 1, 60, True) is StreamDecision.ACCEPT
+    table.release_response_bytes(0, 1, 100)
+    assert table.bytes == 260
+    table.disconnect(0)
+    assert table.bytes == 160 and table.open == 6
+
+
+def test_request_body_counts_until_core_has_it() -> None:
+    table = StreamTable(TERMS)
+    table.connect(1, 0)
+    open_streams(table, 1, 1)
+    assert table.add_request_bytes(1, 1, 150) is StreamDecision.ACCEPT
+    assert table.add_request_bytes(1, 1, 60) is StreamDecision.REFUSE
+    table.accept_request(1, 1)
+    assert table.bytes == 0
+
+
+def test_frame_budgets_limit_burst_and_rate() -> None:
+    table = StreamTable(StreamTerms(resets_per_s=2, resets_burst=3))
+    table.connect(1, 0)
+    decisions = [table.charge(1, Cost.RESET, 0) for _ in range(4)]
+    assert decisions == [StreamDecision.ACCEPT] * 3 + [StreamDecision.CALM]
+    assert table.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.ACCEPT
+    assert table.charge(1, Cost.RESET, SECOND // 2) is StreamDecision.CALM
+    assert table.charge(1, Cost.CONTROL, SECOND // 2) is StreamDecision.ACCEPT, "each cost has its own budget"
+
+
+def due(table: StreamTable, now: int) -> list[tuple[int, Due]]:
+    return [(stream, reason) for _, stream, reason in table.due(now)]
+
+
+def test_closed_or_slowly_opening_window_ends_only_its_stream() -> None:
+    table = StreamTable(TERMS)
+    table.connect(1, 0)
+    open_streams(table, 1, 3)
     for stream in (1, 3, 5):
-        book.accept_request(1, stream)
+        table.accept_request(1, stream)
     for stream in (1, 3):
-        book.add_response_bytes(1, stream, 40, False)
-    book.on_window_closed(1, 1, 0)
-    for second in range(11):  # stream 3 crawls: a byte a second, and shut again
-        book.on_window_closed(1, 3, second * SECOND)
-        book.on_window_opened(1, 3, (second + 1) * SECOND)
-        book.release_response_bytes(1, 3, 0)
-    assert due(book, 10 * SECOND) == [(3, Due.STALLED)]
-    assert due(book, 10 * SECOND + 1) == [(1, Due.STALLED), (3, Due.STALLED)]
-    book.release_response_bytes(1, 3, 10)  # real progress clears it
-    assert due(book, 10 * SECOND + 1) == [(1, Due.STALLED)]
-
-
-def test_what_time_brings_to_a_connection() -> None:
+        table.add_response_bytes(1, stream, 40, False)
+    table.on_window_closed(1, 1, 0)
+    for second in range(11):  # the window of stream 3 opens briefly each second
+        table.on_window_closed(1, 3, second * SECOND)
+        table.on_window_opened(1, 3, (second + 1) * SECOND)
+        table.release_response_bytes(1, 3, 0)
+    assert due(table, 10 * SECOND) == [(3, Due.STALLED)]
+    assert due(table, 10 * SECOND + 1) == [(1, Due.STALLED), (3, Due.STALLED)]
+    table.release_response_bytes(1, 3, 10)  # enough bytes reset the timer
+    assert due(table, 10 * SECOND + 1) == [(1, Due.STALLED)]
+
+
+def test_connection_timeouts() -> None:
     terms = StreamTerms(age_us=100 * SECOND, age_jitter=0.1, idle_us=60 * SECOND)
-    book = StreamTable(terms)
-    book.connect(1, 0, chance=0.5)
-    assert due(book, 2 * SECOND) == []
-    assert due(book, 2 * SECOND + 1) == [(0, Due.FIRST_LATE)]
-    book.open_stream(1, 1, 0, 10)
-    assert due(book, 2 * SECOND + 1) == [(1, Due.BODY_LATE)]
-    book.accept_request(1, 1)
-    assert due(book, 95 * SECOND) == []
-    assert due(book, 95 * SECOND + 1) == [(0, Due.AGED)]
-    book.close_stream(1, 1, 20 * SECOND)
-    assert due(book, 80 * SECOND + 1) == [(0, Due.IDLE)]
-    book.on_window_closed(1, 0, 81 * SECOND)
-    assert due(book, 91 * SECOND + 1) == [(0, Due.SHUT)]
-
-
-def test_room_is_made_by_who_never_asked_then_by_the_longest_idle() -> None:
-    book = StreamTable(TERMS)
+    table = StreamTable(terms)
+    table.connect(1, 0, chance=0.5)
+    assert due(table, 2 * SECOND) == []
+    assert due(table, 2 * SECOND + 1) == [(0, Due.FIRST_LATE)]
+    table.open_stream(1, 1, 0, 10)
+    assert due(table, 2 * SECOND + 1) == [(1, Due.BODY_LATE)]
+    table.accept_request(1, 1)
+    assert due(table, 95 * SECOND) == []
+    assert due(table, 95 * SECOND + 1) == [(0, Due.AGED)]
+    table.close_stream(1, 1, 20 * SECOND)
+    assert due(table, 80 * SECOND + 1) == [(0, Due.IDLE)]
+    table.on_window_closed(1, 0, 81 * SECOND)
+    assert due(table, 91 * SECOND + 1) == [(0, Due.SHUT)]
+
+
+def test_eviction_prefers_connections_without_requests_then_longest_idle() -> None:
+    table = StreamTable(TERMS)
     for conn in (1, 2, 3, 4):
-        book.connect(conn, conn)
+        table.connect(conn, conn)
     for conn in (1, 2, 3):
-        book.open_stream(conn, 1, 10, 100)
-    book.close_stream(2, 1, 30)
-    book.close_stream(1, 1, 40)
-    assert book.longest_idle(40, 40) is None
-    assert book.longest_idle(100, 40) == 4
-    book.disconnect(4)
-    assert book.longest_idle(100, 40) == 2
+        table.open_stream(conn, 1, 10, 100)
+    table.close_stream(2, 1, 30)
+    table.close_stream(1, 1, 40)
+    assert table.longest_idle(40, 40) is None
+    assert table.longest_idle(100, 40) == 4
+    table.disconnect(4)
+    assert table.longest_idle(100, 40) == 2
 
 
-def test_a_drain_tells_twice_and_ends_once() -> None:
+def test_drain_sends_two_goaways_and_completes_once() -> None:
     drain = Drain()
     assert drain.accepts_streams() and not drain.finalize(0, immediately=True)
     assert drain.begin(5) and not drain.begin(6)
@@ -178,48 +180,50 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(STEP, max_size=120), st.sampled_from((0.2, 1.0, 3.0)))
-def test_no_bound_is_passed_and_sums_are_kept(steps: list[tuple[str, int, int, int]], share: float) -> None:
+def test_limits_and_totals_hold_for_arbitrary_steps(
+    steps: list[tuple[str, int, int, int]], share: float
+) -> None:
     terms = StreamTerms(
         streams=4, share=share, open_requests=12, stream_bytes=100, connection_bytes=200, all_bytes=400
     )
-    book = StreamTable(terms)
-    for now, (what, conn, stream, count) in enumerate(steps):
-        free = 20 - book.open
-        if what == "connect":
-            book.disconnect(conn)
-            book.connect(conn, now)
-        elif what == "disconnect":
-            book.disconnect(conn)
-        elif what == "open_stream":
-            account = book.accounts.get(conn)
+    table = StreamTable(terms)
+    for now, (step, conn, stream, count) in enumerate(steps):
+        free = 20 - table.open
+        if step == "connect":
+            table.disconnect(conn)
+            table.connect(conn, now)
+        elif step == "disconnect":
+            table.disconnect(conn)
+        elif step == "open_stream":
+            account = table.accounts.get(conn)
             if account is None or stream not in account.streams:
-                held = len(account.streams) if account else 0
-                verdict = book.open_stream(conn, stream, now, free)
+                open_count = len(account.streams) if account else 0
+                decision = table.open_stream(conn, stream, now, free)
                 if (
                     account is not None
-                    and not held
+                    and not open_count
                     and not account.bytes
                     and free > 0
-                    and book.open < 12 * share
+                    and table.open < 12 * share
                 ):
-                    assert verdict is StreamDecision.ACCEPT or book.open >= 12, (
-                        "a newcomer gets in while there is room"
+                    assert decision is StreamDecision.ACCEPT or table.open >= 12, (
+                        "a new connection is accepted while there is capacity"
                     )
-        elif what == "add_request_bytes":
-            book.add_request_bytes(conn, stream, count)
-        elif what == "add_response_bytes":
-            verdict = book.add_response_bytes(conn, stream, count, write=False)
-            if verdict is StreamDecision.ACCEPT:
-                assert book.bytes <= terms.all_bytes
-        elif what == "release_response_bytes":
-            book.release_response_bytes(conn, stream, count)
-        elif what in ("on_window_closed", "on_window_opened"):
-            getattr(book, what)(conn, stream, now)
+        elif step == "add_request_bytes":
+            table.add_request_bytes(conn, stream, count)
+        elif step == "add_response_bytes":
+            decision = table.add_response_bytes(conn, stream, count, write=False)
+            if decision is StreamDecision.ACCEPT:
+                assert table.bytes <= terms.all_bytes
+        elif step == "release_response_bytes":
+            table.release_response_bytes(conn, stream, count)
+        elif step in ("on_window_closed", "on_window_opened"):
+            getattr(table, step)(conn, stream, now)
         else:
-            getattr(book, what)(conn, stream, *([now] if what == "close_stream" else []))
-        accounts = book.accounts.values()
-        assert book.open == sum(len(a.streams) for a in accounts) <= terms.open_requests
-        assert 0 <= book.bytes == sum(a.bytes for a in accounts) <= terms.all_bytes
+            getattr(table, step)(conn, stream, *([now] if step == "close_stream" else []))
+        accounts = table.accounts.values()
+        assert table.open == sum(len(a.streams) for a in accounts) <= terms.open_requests
+        assert 0 <= table.bytes == sum(a.bytes for a in accounts) <= terms.all_bytes
         for account in accounts:
             assert len(account.streams) <= terms.streams
             assert (
@@ -231,12 +235,12 @@
 
 
 @given(st.lists(st.integers(0, 2 * SECOND), max_size=200), st.integers(1, 50), st.integers(1, 20))
-def test_a_budget_gives_no_more_than_burst_and_rate(gaps: list[int], per_s: int, burst: int) -> None:
-    book = StreamTable(StreamTerms(controls_per_s=per_s, controls_burst=burst))
-    book.connect(1, 0)
-    now = given_out = 0
+def test_frame_budget_accepts_at_most_burst_and_rate(gaps: list[int], per_s: int, burst: int) -> None:
+    table = StreamTable(StreamTerms(controls_per_s=per_s, controls_burst=burst))
+    table.connect(1, 0)
+    now = accepted = 0
     for gap in gaps:
         now += gap
-        given_out += book.charge(1, Cost.CONTROL, now) is StreamDecision.ACCEPT
-        assert given_out <= burst + now * per_s / SECOND
+        accepted += table.charge(1, Cost.CONTROL, now) is StreamDecision.ACCEPT
+        assert accepted <= burst + now * per_s / SECOND
     assert WRITE_RESERVE_DIVISOR > 1
