--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -1,13 +1,9 @@
-"""A process that was started again may not send from a list of unknown age.
-
-What users saw: after routers had been killed and started again, some requests went to servers that were being
-taken down, and to a source that had been drained, after the operators had said so.
-The order of events: a server drains; a router starts, reads the list that stands in its configuration, and is
-ready at once; a request comes; only then discovery's first bytes arrive and tell of the drain.
-The cause: readiness waited for nothing, and the list of the start was acted on as if it were current.
-The evidence: with discovery's bytes kept back by a proxy, calls to the drained servers went on for just as
-long as the bytes were late (327 calls in 2.55 s at 3 s; none with discovery at once), none came after them,
-and the time to ready did not change.
+"""A restarted process must not send requests by a list of unknown age.
+
+Guards against requests to drained servers and sources after a restart: readiness did not wait for discovery,
+and the list in the configuration was used as if it were current, until discovery's first bytes reported the
+drain. With these bytes delayed by a proxy for 3 s, 327 calls went to drained servers in 2.55 s, and none
+after the bytes had arrived; without a delay there were none. The time to ready was the same.
 """
 
 from __future__ import annotations
@@ -25,29 +21,29 @@
 from lupintack.standins.proxy import Fault, Proxy
 
 DRAINED = ("s-1", "p-1")
-LOOK_S = 2.0
-READY_S = 6.0  # nine in ten routers of a short day
+LOAD_S = 2.0
+READY_S = 6.0  # limit that nine in ten routers meet in a short day's run
 
 
 @pytest.fixture
 def edge(tmp_path: Path) -> Iterator[Edge]:
-    one = Edge(tmp_path)
+    edge = Edge(tmp_path)
     try:
-        yield one
+        yield edge
     finally:
-        one.close()
+        edge.close()
 
 
-def after(seconds: float, what: Callable[[], None]) -> None:
-    timer = threading.Timer(seconds, what)
+def call_later(seconds: float, action: Callable[[], None]) -> None:
+    timer = threading.Timer(seconds, action)
     timer.daemon = True
     timer.start()
 
 
-def held(seconds: float, then: Fault = Fault.NONE) -> Callable[[Proxy], None]:
+def delayed(seconds: float, then: Fault = Fault.NONE) -> Callable[[Proxy], None]:
     def fault(proxy: Proxy) -> None:
         proxy.fault = Fault.DELAYED
-        after(seconds, lambda: setattr(proxy, "fault", then))
+        call_later(seconds, lambda: setattr(proxy, "fault", then))
 
     return fault
 
@@ -55,7 +51,7 @@
 def refused(seconds: float) -> Callable[[Proxy], None]:
     def fault(proxy: Proxy) -> None:
         proxy.refuse()
-        after(seconds, proxy.back)
+        call_later(seconds, proxy.back)
 
     return fault
 
@@ -63,25 +59,25 @@
 def silent(seconds: float) -> Callable[[Proxy], None]:
     def fault(proxy: Proxy) -> None:
         proxy.silent = True
-        after(seconds, lambda: setattr(proxy, "silent", False))
+        call_later(seconds, lambda: setattr(proxy, "silent", False))
 
     return fault
 
 
 FAULTS: dict[str, Callable[[Proxy], None]] = {
     "none": lambda proxy: None,
-    "late by 0.6 s": held(0.6),
-    "late by 3 s": held(3.0),
+    "late by 0.6 s": delayed(0.6),
+    "late by 3 s": delayed(3.0),
     "refused for 2 s": refused(2.0),
     "refused for 8 s": refused(8.0),
     "silent for 2 s": silent(2.0),
-    "in pieces from 1 s on": held(1.0, Fault.PIECES),
+    "in pieces from 1 s on": delayed(1.0, Fault.PIECES),
     "doubled": lambda proxy: setattr(proxy, "fault", Fault.DOUBLED),
 }
 
 
-def test_a_discovery_that_is_slow_with_each_connection_is_heard_all_the_same(edge: Edge) -> None:
-    """Given up after 1.8 s each time, it would never prove the list."""
+def test_list_is_proved_by_discovery_that_is_slow_on_each_connection(edge: Edge) -> None:
+    """Guards against a fixed timeout of 1.8 s per connection, with which the list would never be proved."""
     edge.proxy.delay_s = 2.5
     edge.publish_health("s-1", "Terminating")
     edge.start()
@@ -95,9 +91,9 @@
     assert not edge.calls_to(["s-1"]) and "list is current" in edge.log()
 
 
-def test_a_watch_that_had_events_asks_again_rather_than_wait_for_the_next_beat(edge: Edge) -> None:
-    """Discovery says the number at once to a watch that misses nothing: that proves the list a second
-    sooner.
+def test_watch_reconnects_after_events_instead_of_waiting_for_next_heartbeat(edge: Edge) -> None:
+    """Discovery sends its revision immediately to a watch that misses no event, which proves the list up to a
+    second sooner.
     """
     edge.fleet.discovery_server.prompt_if_current = True
     for member in DRAINED:
@@ -113,7 +109,7 @@
     assert "discovery.lost" not in edge.log()
 
 
-def test_a_discovery_that_never_answers_at_once_is_not_asked_again_and_again(edge: Edge) -> None:
+def test_early_reconnects_are_limited_when_discovery_never_answers_immediately(edge: Edge) -> None:
     edge.publish_health("s-1", "Terminating")
     edge.start()
     edge.ready()
@@ -121,17 +117,17 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_nothing_goes_to_what_drained_before_the_start(edge: Edge, name: str) -> None:
+def test_members_drained_before_start_get_no_calls(edge: Edge, name: str) -> None:
     for member in DRAINED:
         edge.publish_health(member, "Terminating")
     FAULTS[name](edge.proxy)
     edge.start()
-    took_s = edge.ready()
+    ready_after_s = edge.ready()
     edge.load(8)
-    threading.Event().wait(LOOK_S)
+    threading.Event().wait(LOAD_S)
     requests = edge.stop()
     assert not edge.calls_to(DRAINED), f"{len(edge.calls_to(DRAINED))} of {len(edge.calls)} calls"
-    assert took_s < READY_S, edge.log()
-    assert requests and all(one.end is End.ANSWERED for one in requests), edge.log()
-    served = sum(one.status == 200 for one in requests)
+    assert ready_after_s < READY_S, edge.log()
+    assert requests and all(request.end is End.ANSWERED for request in requests), edge.log()
+    served = sum(request.status == 200 for request in requests)
     assert served > len(requests) / 2, (served, len(requests))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process at its limit of descriptors: idle clients take all that they can while discovery is down."""
+"""A real process at its descriptor limit: idle clients open many connections while discovery is down."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from tests.site import eventually
 
 SOCKETS = 72
-PROOF_LASTS_S = 6.0  # 7 s by the rule, of which discovery's last word may be a second old
-GRACE_S = 2.0  # that second, and the grace behind the 7 s
-TOLD_S = 4.0  # from when all that the board has counts as told; a try comes each 0.12 to 0.28 s
-BOXES = {f"s-{n}": "box" for n in range(1, 61)}  # more than there is room for connections to members
+PROOF_VALID_S = 6.0  # of the 7 s of the protocol, as discovery's last line may be a second old
+GRACE_S = 2.0  # that second, and the grace period after the 7 s
+NOTIFIED_S = 4.0  # after which a change counts as notified; reconnects follow every 0.12 to 0.28 s
+BOXES = {f"s-{n}": "box" for n in range(1, 61)}  # more members than connections to members are allowed
 MANY = BOXES | {name: kind for name, kind in HOSTS.items() if kind != "box"}
 
 
 @pytest.fixture(params=["few", "many"])
 def site(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Processes]:
     fleet = Fleet(hosts=MANY if request.param == "many" else HOSTS)
-    play = Processes(tmp_path, fleet=fleet, sockets=SOCKETS)
-    yield play
-    play.close()
+    processes = Processes(tmp_path, fleet=fleet, sockets=SOCKETS)
+    yield processes
+    processes.close()
 
 
-def ask(where: tuple[str, int], number: int) -> int:
-    """A new client's request; its status."""
-    with socket.create_connection(where, timeout=5.0) as sock:
+def send_request(address: tuple[str, int], number: int) -> int:
+    """Send a new client's request; return its status."""
+    with socket.create_connection(address, timeout=5.0) as sock:
         head = f"GET /ops/map-tiles/{number:016x} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
         sock.sendall(f"{head}Req-Id: {number:016x}\r\nReq-Wait-Ms: 3000\r\n\r\n".encode())
         return int(Lines(sock).message()[0].split()[1])
@@ -53,31 +53,31 @@
     site.fleet.discovery_server.down()
     idle: list[socket.socket] = []
     try:
-        for n in range(3 * SOCKETS):  # some say nothing, some have asked once and rest
+        for n in range(3 * SOCKETS):  # some send nothing, some one request
             sock = socket.create_connection(site.listen, timeout=5.0)
             idle.append(sock)
             if n % 3 == 0:
                 sock.sendall(b"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
-        statuses, most = [], 0
+        statuses, max_open = [], 0
         for n in range(120):
-            statuses.append(ask(site.listen, n))
-            most = max(most, open_files(process.pid))
+            statuses.append(send_request(site.listen, n))
+            max_open = max(max_open, open_files(process.pid))
         assert set(statuses) == {200}, {s: statuses.count(s) for s in statuses}
-        asked_s = time.monotonic()
-        status, said = call(admin, "GET", "/api/ready")
+        checked_s = time.monotonic()
+        status, text = call(admin, "GET", "/api/ready")
         assert status == 200
-        if time.monotonic() - down_s < PROOF_LASTS_S:
-            assert said == "ready"
-        elif asked_s - down_s > PROOF_LASTS_S + GRACE_S:
-            assert said.endswith("the origin alone serves")  # as the rule has it, on a machine that is slow
-        assert most < SOCKETS
-        # Discovery is back: what it tells binds within its usual time.
-        gone = "s-1"
-        told = line(gone, site.fleet.members[gone].address, "Gone", "box")
-        site.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [told]}})
+        if time.monotonic() - down_s < PROOF_VALID_S:
+            assert text == "ready"
+        elif checked_s - down_s > PROOF_VALID_S + GRACE_S:
+            assert text.endswith("the origin alone serves")  # allowed by the protocol, on a slow machine
+        assert max_open < SOCKETS
+        # Discovery is back: its events take effect within the usual time.
+        removed = "s-1"
+        removal = line(removed, site.fleet.members[removed].address, "Gone", "box")
+        site.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [removal]}})
         site.fleet.discovery_server.back()
-        eventually(lambda: call(admin, "POST", f"/api/include?name={gone}")[0] == 404, TOLD_S)
-        assert [ask(site.listen, n) for n in range(200, 230)] == [200] * 30
+        eventually(lambda: call(admin, "POST", f"/api/include?name={removed}")[0] == 404, NOTIFIED_S)
+        assert [send_request(site.listen, n) for n in range(200, 230)] == [200] * 30
     finally:
         for sock in idle:
             sock.close()
