--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,5 +1,6 @@
-"""System calls that fail for a moment lose no request, and cost little: real processes, calls that fail on a
-seed.
+"""Transient failures of system calls lose no request and cost little throughput.
+
+The tests run real processes in which calls fail by a seeded random plan.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from lupintack.standins.edge import START_PATIENCE_S, ClientRecord, Edge, End
 from lupintack.standins.net import free_ports
 
-LOOK_S = 1.2  # beside faults, and as long without
-TURNS = 4  # of each in a look
-SERVED_PART = 0.9  # of all requests
-PACE_PART = 0.5  # of the requests that are served without faults in the same look
+PHASE_S = 1.2  # total time with faults, and the same time without
+TURNS = 4  # of each kind
+MIN_SERVED_SHARE = 0.9  # of all requests
+MIN_THROUGHPUT_SHARE = 0.5  # of the requests that end without faults in the same comparison
 
 
-def fault(call: str, name: str, part: float, **more: Any) -> dict[str, Any]:
-    return {"call": call, "errno": name, "part": part, **more}
+def fault(call: str, name: str, part: float, **options: Any) -> dict[str, Any]:
+    return {"call": call, "errno": name, "part": part, **options}
 
 
 ACCEPT = (
@@ -64,19 +65,19 @@
 
 
 @dataclass
-class Look:
-    """Clients beside calls that fail and that don't, in turns as short as a machine's load changes."""
+class Comparison:
+    """Requests with and without faults, in alternate turns short enough to see the same machine load."""
 
     requests: list[ClientRecord]
-    beside_faults: list[ClientRecord]
+    with_faults: list[ClientRecord]
     without_faults: list[ClientRecord]
 
 
-def played(edge: Edge, new_connections: bool, plan: dict[str, Any]) -> Look:
-    """A look, each request on a new connection or on kept ones; what ends between turns counts for none."""
+def compare(edge: Edge, new_connections: bool, plan: dict[str, Any]) -> Comparison:
+    """Run a comparison, on new or kept connections; requests that end between turns count for neither."""
     edge.requests, edge.over = [], threading.Event()
     if new_connections:
-        threads = [threading.Thread(target=one_by_one, args=(edge,)) for _ in range(6)]
+        threads = [threading.Thread(target=send_on_new_connections, args=(edge,)) for _ in range(6)]
         for thread in threads:
             thread.start()
         edge.clients += threads
@@ -86,18 +87,22 @@
     for turn in range(2 * TURNS):
         edge.shim(**(plan | {"seed": 7 + turn} if turn % 2 == 0 else {}))
         began_s = time.monotonic()
-        time.sleep(LOOK_S / TURNS)
+        time.sleep(PHASE_S / TURNS)
         turns.append((began_s, time.monotonic()))
     edge.shim()
     requests = edge.stop()
-    return Look(requests, ended_in(turns[::2], requests), ended_in(turns[1::2], requests))
+    return Comparison(requests, ended_in(turns[::2], requests), ended_in(turns[1::2], requests))
 
 
 def ended_in(turns: list[tuple[float, float]], requests: list[ClientRecord]) -> list[ClientRecord]:
-    return [one for one in requests if any(began_s <= one.ended_s < ended_s for began_s, ended_s in turns)]
+    return [
+        request
+        for request in requests
+        if any(began_s <= request.ended_s < ended_s for began_s, ended_s in turns)
+    ]
 
 
-def one_by_one(edge: Edge) -> None:
+def send_on_new_connections(edge: Edge) -> None:
     while not edge.over.is_set():
         sock = edge.connect()
         if sock is not None:
@@ -106,29 +111,31 @@
         time.sleep(0.01)
 
 
-@pytest.mark.parametrize("calls", ["accept", "connect", "socket", "setsockopt", "recv", "send", "short", "a"])
-def test_calls_that_fail_for_a_moment_lose_nothing(edge: Edge, calls: str) -> None:
-    """Each error of a call in turn, on one process, for as long as without any, by turns of 0.3 s.
+@pytest.mark.parametrize(
+    "call_name", ["accept", "connect", "socket", "setsockopt", "recv", "send", "short", "a"]
+)
+def test_transient_call_failures_lose_no_request(edge: Edge, call_name: str) -> None:
+    """Each error of a call in sequence, on one process, alternating with turns of 0.3 s without faults.
 
-    Guards against a pace that falls to less than half of what the machine had to give just then.
+    Guards against a throughput below half of what the machine achieves at that time.
     """
     edge.start()
     edge.ready()
-    new = calls in ("accept", "setsockopt")
+    new_connections = call_name in ("accept", "setsockopt")
     for name, plan in PLANS.items():
-        if name.split()[0] != calls:
+        if name.split()[0] != call_name:
             continue
-        look = played(edge, new, plan)
-        cut = [one for one in look.requests if one.end is not End.ANSWERED]
-        count, pace = len(look.beside_faults), len(look.without_faults)
-        served = sum(one.status == 200 for one in look.beside_faults)
-        assert not cut, (name, len(cut), len(look.requests), edge.log()[-2000:])
-        assert served >= SERVED_PART * count, (name, served, count, edge.log()[-2000:])
-        assert count >= PACE_PART * pace, (name, count, pace)
+        comparison = compare(edge, new_connections, plan)
+        unanswered = [request for request in comparison.requests if request.end is not End.ANSWERED]
+        count, count_without_faults = len(comparison.with_faults), len(comparison.without_faults)
+        served = sum(request.status == 200 for request in comparison.with_faults)
+        assert not unanswered, (name, len(unanswered), len(comparison.requests), edge.log()[-2000:])
+        assert served >= MIN_SERVED_SHARE * count, (name, served, count, edge.log()[-2000:])
+        assert count >= MIN_THROUGHPUT_SHARE * count_without_faults, (name, count, count_without_faults)
 
 
 class FailingWrites:
-    """A socket whose writes go as a list says: bytes that are taken, or an error's number; then all is."""
+    """A socket with listed outcomes of its writes, bytes accepted or errors; later writes are complete."""
 
     def __init__(self, *outcomes: int | OSError) -> None:
         self.outcomes = list(outcomes)
@@ -146,22 +153,22 @@
 @pytest.mark.parametrize(
     "outcomes", [(5,), (5, 1, 2), (OSError(errno.EINTR, ""),), (3, OSError(errno.ENOBUFS, ""))]
 )
-def test_a_write_that_falls_short_goes_on_at_once(outcomes: tuple[int | OSError, ...]) -> None:
-    """Guards against a thread for each short write: its start held up the core's turn and all behind it."""
+def test_short_write_is_continued_immediately(outcomes: tuple[int | OSError, ...]) -> None:
+    """Guards against a thread for each short write: its start delayed the core's turn and later messages."""
     sock = FailingWrites(*outcomes)
     assert sockets.send_parts_now(sock, [b"head ", b"body"]) == []  # type: ignore[arg-type]
     assert sock.written == b"head body"
 
 
-def test_a_write_that_would_wait_leaves_the_rest() -> None:
+def test_write_that_would_block_returns_unsent_parts() -> None:
     for last in (BlockingIOError(), OSError(errno.ENOMEM, "")):
         sock = FailingWrites(7, *[last] * sockets.MAX_SEND_NOW_TRIES)
-        left = sockets.send_parts_now(sock, [b"head ", b"body"])  # type: ignore[arg-type]
-        assert (sock.written, [bytes(one) for one in left]) == (b"head bo", [b"dy"])
+        unsent = sockets.send_parts_now(sock, [b"head ", b"body"])  # type: ignore[arg-type]
+        assert (sock.written, [bytes(view) for view in unsent]) == (b"head bo", [b"dy"])
 
 
-def test_connects_that_this_machine_could_not_begin_do_not_count_against_the_member(edge: Edge) -> None:
-    """Each used to be a failed connect of the member's, whose request went to another one."""
+def test_local_connect_errors_do_not_count_against_member(edge: Edge) -> None:
+    """Guards against local errors counters as the member's, whose request then went to another member."""
     edge.start()
     edge.ready()
     for name in ("EADDRNOTAVAIL", "EAGAIN", "ENOBUFS"):
@@ -186,10 +193,10 @@
         (edge.tmp / "log").write_text("")
 
 
-def test_a_client_s_connection_that_breaks_in_any_way_is_a_client_that_left(edge: Edge) -> None:
-    """ETIMEDOUT used to end the thread without a word: its attempts went on for a client that was gone."""
+def test_broken_client_connection_counts_as_disconnect(edge: Edge) -> None:
+    """Guards against ETIMEDOUT ending the thread silently, while attempts continue for the lost client."""
     edge.fleet.terms.delay_s = lambda name, cls: 0.4
-    edge.fleet.terms.fault = lambda name, cls: "error"  # so that another attempt would follow
+    edge.fleet.terms.fault = lambda name, cls: "error"  # so that a retry would follow
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -205,24 +212,24 @@
     time.sleep(1.0)
     edge.shim()
     sock.close()
-    assert len(edge.calls) == 1, "an attempt for a client whose connection had broken"
+    assert len(edge.calls) == 1, "no retry for a client whose connection is broken"
 
 
-def test_an_accept_waits_only_for_what_the_machine_lacks() -> None:
-    counted: list[str] = []
-    failures = AcceptFailures(counted.append)
+def test_accept_is_delayed_only_for_resource_errors() -> None:
+    counters: list[str] = []
+    failures = AcceptFailures(counters.append)
     assert [failures.on_failure(OSError(103, "aborted")) for _ in range(50)] == [0.0] * 50
     for _ in range(MAX_TRIES):
         last = failures.on_failure(OSError(103, "aborted"))
-    assert last == MAX_ACCEPT_DELAY_S, "an error that stays must not take the whole processor"
+    assert last == MAX_ACCEPT_DELAY_S, "a permanent error must not cause a busy loop"
     failures.on_success()
-    pauses = [failures.on_failure(OSError(23, "table full")) for _ in range(10)]
-    assert pauses[0] < 0.002 and pauses == sorted(pauses) and pauses[-1] == MAX_ACCEPT_DELAY_S
-    assert set(counted) == {"accept.econnaborted", "accept.enfile"}
+    delays_s = [failures.on_failure(OSError(23, "table full")) for _ in range(10)]
+    assert delays_s[0] < 0.002 and delays_s == sorted(delays_s) and delays_s[-1] == MAX_ACCEPT_DELAY_S
+    assert set(counters) == {"accept.econnaborted", "accept.enfile"}
 
 
-def test_a_folder_that_can_t_be_written_for_a_while_forgets_nothing(edge: Edge) -> None:
-    """What staff said binds at once, is said not to be kept, and is kept once it can be."""
+def test_exclusions_are_saved_after_folder_write_errors(edge: Edge) -> None:
+    """An exclusion takes effect immediately, is reported as not saved, and is saved once writes succeed."""
     edge.start()
     edge.ready()
     assert edge.staff("/api/exclude?name=s-1", "POST")[0] == 200
@@ -250,72 +257,70 @@
 }
 
 
-def killed_with_a_ban(edge: Edge) -> None:
-    """A process whose staff has taken s-1 out, and which a crash has ended."""
+def kill_after_exclusion(edge: Edge) -> None:
+    """Exclude s-1 by an operator's request, and kill the process."""
     edge.start()
     edge.ready()
     assert edge.staff("/api/exclude?name=s-1", "POST")[0] == 200
     edge.kill()
 
 
-def assert_ban_holds(edge: Edge, lasts_s: float) -> None:
-    """Clients are served, and s-1 gets nothing of it."""
+def assert_ban_applies(edge: Edge, duration_s: float) -> None:
+    """Assert that clients are served and that s-1 gets no calls."""
     edge.calls.clear()
     edge.load(4, gap_s=0.02)
-    time.sleep(lasts_s)
+    time.sleep(duration_s)
     edge.stop()
     assert edge.calls and not edge.calls_to(["s-1"])
 
 
-@pytest.mark.parametrize("calls", FOLDER_CALLS)
-def test_a_folder_that_can_t_be_used_at_the_start_is_read_all_the_same_and_joined_later(
-    edge: Edge, calls: str
-) -> None:
-    """Whatever fails there, a member that staff took out gets nothing, and what staff says next is kept once
-    it can be.
+@pytest.mark.parametrize("failing_calls", FOLDER_CALLS)
+def test_folder_unusable_at_start_is_read_and_used_later(edge: Edge, failing_calls: str) -> None:
+    """An excluded member gets no calls whichever call fails, and later exclusions are saved once that is
+    possible.
     """
-    killed_with_a_ban(edge)
-    edge.shim(seed=7, faults=FOLDER_CALLS[calls])
+    kill_after_exclusion(edge)
+    edge.shim(seed=7, faults=FOLDER_CALLS[failing_calls])
     edge.start()
     edge.ready()
-    assert_ban_holds(edge, 1.0)
+    assert_ban_applies(edge, 1.0)
     edge.staff("/api/exclude?name=s-2", "POST")
     edge.shim()
     until = time.monotonic() + 5.0
     while b"s-2" not in next(edge.tmp.glob("lupintack-*/bans.json")).read_bytes():
         assert time.monotonic() < until, edge.log()
         time.sleep(0.05)
-    kept = next(edge.tmp.glob("lupintack-*/bans.json")).read_bytes()
-    assert b"s-1" in kept, "what was said first is owed as well"
+    saved = next(edge.tmp.glob("lupintack-*/bans.json")).read_bytes()
+    assert b"s-1" in saved, "the first exclusion is saved as well"
 
 
-def test_bans_that_can_t_be_read_for_a_while_hold_the_start_up(edge: Edge) -> None:
-    """After half a second the start went on without them, and what staff took out got traffic again."""
-    killed_with_a_ban(edge)
+def test_unreadable_bans_delay_start(edge: Edge) -> None:
+    """Guards against a start that goes on without bans after 0.5 s, so that excluded members get requests."""
+    kill_after_exclusion(edge)
     edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
     time.sleep(2.0)
     assert not edge.alive()
     edge.shim()
     edge.ready()
-    assert_ban_holds(edge, 1.0)
+    assert_ban_applies(edge, 1.0)
 
 
-def test_bans_that_stay_unread_do_not_hold_the_start_up_for_good(edge: Edge) -> None:
-    """They are in force once they can be read; the log says that they are not."""
-    killed_with_a_ban(edge)
+def test_permanently_unreadable_bans_do_not_prevent_start(edge: Edge) -> None:
+    """Bans apply once they can be read; until then the log reports that they are unreadable."""
+    kill_after_exclusion(edge)
     edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
     assert edge.ready() < 10.0
     assert "saved bans unreadable" in edge.log()
     edge.shim()
     time.sleep(1.0)
-    assert_ban_holds(edge, 0.5)
+    assert_ban_applies(edge, 0.5)
 
 
-def test_sigterm_ends_a_start_that_waits_for_its_bans(edge: Edge) -> None:
-    """Nothing was taken on, and nothing may be served without them."""
-    killed_with_a_ban(edge)
+def test_sigterm_ends_start_that_waits_for_bans(edge: Edge) -> None:
+    """No connection was accepted, and no request may be served without the bans."""
+    kill_after_exclusion(edge)
     edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
     until = time.monotonic() + START_PATIENCE_S
@@ -336,32 +341,30 @@
 }
 
 
-@pytest.mark.parametrize("calls", UPGRADE_CALLS)
-def test_a_start_beside_an_old_process_takes_over_what_that_left_whatever_fails(
-    edge: Edge, calls: str
-) -> None:
-    """A handoff that could not be opened once ended the start; a look at the old process that failed once was
-    taken for its end, so nothing was waited for any more.
+@pytest.mark.parametrize("failing_calls", UPGRADE_CALLS)
+def test_upgrade_receives_handoff_despite_call_failures(edge: Edge, failing_calls: str) -> None:
+    """Guards against a start that ends where the handoff cannot be opened once, and against one that takes a
+    single failed check of the old process for its end and no longer waits for it.
     """
     edge.start()
     edge.ready()
     edge.load(2)
     time.sleep(0.5)
     edge.stop()
-    plan = edge.tmp / "upgrade.json"
-    plan.write_text(json.dumps({"seed": 7, "faults": UPGRADE_CALLS[calls]}))
-    edge.start({"EDGE_ADMIN_ADDR": f"127.0.0.1:{free_ports(1)[0]}", "LUPINTACK_SHIM": str(plan)})
+    plan_path = edge.tmp / "upgrade.json"
+    plan_path.write_text(json.dumps({"seed": 7, "faults": UPGRADE_CALLS[failing_calls]}))
+    edge.start({"EDGE_ADMIN_ADDR": f"127.0.0.1:{free_ports(1)[0]}", "LUPINTACK_SHIM": str(plan_path)})
     until = time.monotonic() + START_PATIENCE_S
     while edge.log().count("event=ready") < 2:
         assert edge.process is not None and edge.process.poll() is None, edge.log()
         assert time.monotonic() < until, edge.log()
         time.sleep(0.05)
-    line = next((one for one in edge.log().splitlines() if 'event="handoff received"' in one), edge.log())
+    line = next((text for text in edge.log().splitlines() if 'event="handoff received"' in text), edge.log())
     assert "learned=true" in line and "fault=none" in line, line
 
 
-def test_a_state_that_could_not_be_written_is_written_with_the_next_look(edge: Edge) -> None:
-    """It was written once for each change: to the other process, one that served was starting for good."""
+def test_unwritten_state_is_written_at_next_check(edge: Edge) -> None:
+    """Guards against one write per change: other processes then saw a serving one as starting forever."""
     edge.shim(seed=7, faults=[fault("pwrite", "ENOSPC", 1.0, first=6)])
     edge.start()
     edge.ready()
@@ -378,11 +381,9 @@
 
 
 @pytest.mark.parametrize(("name", "error"), START_CALLS)
-def test_a_listener_that_can_t_be_made_at_once_does_not_end_the_start(
-    edge: Edge, name: str, error: str
-) -> None:
-    """A router restarted under a fault that lasted a moment ended with `can't listen`, and was a failed
-    start: any error of socket, setsockopt, bind or listen was taken for a port that somebody else has.
+def test_start_survives_transient_listener_errors(edge: Edge, name: str, error: str) -> None:
+    """Guards against a start that fails with `can't listen` on a transient error: any error of socket,
+    setsockopt, bind or listen was taken for a port in use by another process.
     """
     edge.shim(seed=7, faults=[fault(name, error, 1.0, first=6)])
     edge.start()
@@ -396,8 +397,8 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "EIO", "EINTR"])
-def test_a_configuration_that_can_t_be_read_at_once_is_read_a_moment_later(edge: Edge, error: str) -> None:
-    """At a start, which was over, and at SIGHUP, whose new configuration was never read."""
+def test_configuration_read_is_retried(edge: Edge, error: str) -> None:
+    """Guards against a start that ends, and a SIGHUP that is never applied, after one failed open."""
     edge.shim(seed=7, faults=[fault("open", error, 1.0, path="config.json", first=6)])
     edge.start()
     edge.ready()
@@ -411,7 +412,7 @@
     assert "can't be used" not in edge.log()
 
 
-def test_a_port_that_stays_somebody_s_ends_the_start_with_a_word(edge: Edge) -> None:
+def test_port_in_use_ends_start_with_message(edge: Edge) -> None:
     with socket.create_server(("127.0.0.1", edge.port)):
         edge.start()
         assert edge.process is not None
@@ -419,7 +420,7 @@
     assert f"can't listen at 127.0.0.1:{edge.port}: Address already in use" in edge.log()
 
 
-def test_sockets_of_other_families_and_options_that_never_take_are_no_fault() -> None:
+def test_unsupported_socket_options_are_ignored() -> None:
     with socket.socket() as sock:
         assert not sockets.set_option(sock, socket.IPPROTO_TCP, 9999, 1)
         assert sockets.set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
