--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,7 +1,8 @@
-"""A process that was kept from running acts on what was sent to it meanwhile, by when its oldest bytes came.
+"""After a pause a process dates the bytes it has received by the arrival of the oldest ones.
 
-The kernel tells when the last bytes of a connection arrived. Older bytes that lie unread before them used to
-count as just as young: discovery's beat behind a drain, a second request behind a first one.
+Guards against unread bytes that are dated by later bytes of the same connection, since the kernel reports
+only when the last ones arrived: a drain by the heartbeat of discovery after it, or a request by the next
+request.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 from tests.app import App
 from tests.site import eventually, site
 
-GAPS_MS = (0, 10, 30, 60, 400, 2000)  # between the bytes that matter and the last ones
-ARRIVAL_S = 0.01  # until bytes are through the proxy and in the kernel
-TOLD_S = 0.25  # after an event: far under the shortest grace, over what a busy machine needs
+GAPS_MS = (0, 10, 30, 60, 400, 2000)  # between the bytes under test and the last ones
+ARRIVAL_S = 0.01  # until bytes have passed the proxy and reached the kernel
+NOTIFIED_S = 0.25  # after an event: far below the shortest grace, above the need of a busy machine
 SLACK_S = 0.15  # of a deadline that is passed on
 OPERATOR = '[http2]\nenabled = true\nlisten = "{http2}"\n'
 
 
-def beat(edge: Edge) -> None:
-    """Discovery says its last revision, as it does each second."""
+def send_heartbeat(edge: Edge) -> None:
+    """Send discovery's last revision, as the server does each second."""
     server = edge.fleet.discovery_server
     with server.lock:
         server.send(b"%d\n" % server.rev)
@@ -41,7 +42,7 @@
 
 
 class StoppedEdge:
-    """A router with open connections whose clients have sent requests while its process stands still."""
+    """A router with open connections whose clients send requests while its process is stopped."""
 
     def __init__(self, edge: Edge, clients: int = 20) -> None:
         self.edge = edge
@@ -52,19 +53,19 @@
         self.socks = [sock for sock in (edge.connect() for _ in range(clients)) if sock is not None]
         for sock in self.socks:
             edge.send_request(sock, item=self.item)
-        self.first = len(edge.requests)
+        self.first_request = len(edge.requests)
         self.threads: list[threading.Thread] = []
-        self.told_s = 0.0
+        self.published_s = 0.0
         self.unix_ms = 0
 
     def stop(self) -> None:
         self.edge.signal(signal.SIGSTOP)
         time.sleep(0.02)
 
-    def tell(self, purged: bool) -> None:
-        """An event of discovery's that forbids what the requests would get."""
-        self.told_s, self.unix_ms = time.monotonic(), int(time.time() * 1000)
-        if purged:
+    def publish_event(self, is_purge: bool) -> None:
+        """Publish a purge, or a drain of the members that would serve the requests."""
+        self.published_s, self.unix_ms = time.monotonic(), int(time.time() * 1000)
+        if is_purge:
             self.edge.fleet.discovery_server.purge(asset=self.item)
         else:
             self.edge.publish_health("s-1", "Terminating")
@@ -80,79 +81,77 @@
             thread.start()
         time.sleep(0.05)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.edge.signal(signal.SIGCONT)
 
-    def check(self, purged: bool) -> None:
-        """Each request has one answer, and none by what was told to be over."""
+    def check(self, is_purge: bool) -> None:
+        """Assert one response per request, and none from a purged copy or a drained member."""
         for thread in self.threads:
             thread.join()
-        requests = self.edge.requests[self.first :]
-        assert {one.end for one in requests} == {End.ANSWERED}
-        if purged:
-            stale = [one for one in requests if 0 < one.issued_ms < self.unix_ms]
+        requests = self.edge.requests[self.first_request :]
+        assert {request.end for request in requests} == {End.ANSWERED}
+        if is_purge:
+            stale = [request for request in requests if 0 < request.issued_ms < self.unix_ms]
             assert not stale, (len(stale), stale[0])
-        late = [] if purged else self.edge.calls_to(["s-1", "p-1"], self.told_s + TOLD_S)
-        assert not late, (len(late), late[0].at_s - self.told_s)
+        late = [] if is_purge else self.edge.calls_to(["s-1", "p-1"], self.published_s + NOTIFIED_S)
+        assert not late, (len(late), late[0].at_s - self.published_s)
 
 
-# Discovery: what lies unread before its last bytes
+# Discovery: unread events before the last bytes
 
 
 @pytest.mark.parametrize(
-    ("purged", "gap_ms"), [*((False, gap_ms) for gap_ms in GAPS_MS), (True, 400), (True, 2000)]
+    ("is_purge", "gap_ms"), [*((False, gap_ms) for gap_ms in GAPS_MS), (True, 400), (True, 2000)]
 )
-def test_an_event_binds_behind_a_pause_however_young_the_bytes_behind_it_are(
-    edge: Edge, purged: bool, gap_ms: int
-) -> None:
-    """Guards against an unread drain or purge that counts as young as discovery's beat behind it."""
+def test_event_applies_after_pause_regardless_of_later_bytes(edge: Edge, is_purge: bool, gap_ms: int) -> None:
+    """Guards against an unread drain or purge that is dated by the heartbeat of discovery after it."""
     stopped = StoppedEdge(edge)
     stopped.stop()
     time.sleep(0.2)
     if gap_ms < 60:  # sending takes 50 ms itself
         stopped.send_requests()
-    stopped.tell(purged)
+    stopped.publish_event(is_purge)
     time.sleep(max(gap_ms - 50, 0) / 1000 if gap_ms >= 60 else gap_ms / 1000)
     if gap_ms >= 60:
         stopped.send_requests()
-    beat(edge)
-    stopped.go_on()
-    stopped.check(purged)
+    send_heartbeat(edge)
+    stopped.resume()
+    stopped.check(is_purge)
 
 
 @pytest.mark.parametrize("pause_ms", [60, 120, 300])
-def test_an_event_binds_behind_a_short_pause(edge: Edge, pause_ms: int) -> None:
+def test_event_applies_after_short_pause(edge: Edge, pause_ms: int) -> None:
     stopped = StoppedEdge(edge)
     stopped.stop()
-    stopped.tell(False)
+    stopped.publish_event(False)
     stopped.send_requests()
     time.sleep(max(0.0, pause_ms / 1000 - 0.08))
-    beat(edge)
-    stopped.go_on()
+    send_heartbeat(edge)
+    stopped.resume()
     stopped.check(False)
 
 
-def test_an_event_binds_behind_two_pauses_in_a_row(edge: Edge) -> None:
+def test_event_applies_after_two_consecutive_pauses(edge: Edge) -> None:
     stopped = StoppedEdge(edge)
     stopped.stop()
-    stopped.tell(False)
+    stopped.publish_event(False)
     stopped.send_requests()
     time.sleep(0.4)
-    beat(edge)
-    stopped.go_on()
+    send_heartbeat(edge)
+    stopped.resume()
     time.sleep(0.002)
     edge.signal(signal.SIGSTOP)
     time.sleep(0.4)
-    beat(edge)
-    stopped.go_on()
+    send_heartbeat(edge)
+    stopped.resume()
     stopped.check(False)
 
 
-# Discovery: the reader's thread alone is late, or the table's
+# Discovery: only the reader's thread, or only the table's, is delayed
 
 
 class Watch:
-    """A discovery client on a real connection, before a member table whose turn the test takes."""
+    """A discovery client on a real connection, with a member table whose turns the test runs."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -179,13 +178,13 @@
         self.sock.sendall(data)
 
     def hold_reader(self) -> None:
-        """The reader's thread comes no further than to the next line."""
+        """Block the reader's thread at its next line."""
         self.client.lock.acquire()
         self.send(b"0\n")
         time.sleep(0.03)
 
     def settle(self) -> None:
-        """The table's turn, with all that waits for it."""
+        """Run the table's turn with all pending updates."""
         time.sleep(0.05)
         while not self.table.mailbox.empty():
             update = self.table.mailbox.get()
@@ -201,19 +200,19 @@
 
 @pytest.fixture
 def watch() -> Iterator[Watch]:
-    one = Watch()
+    watch = Watch()
     try:
-        yield one
+        yield watch
     finally:
-        one.close()
+        watch.close()
 
 
 PURGE = b'{"rev": 1, "flush": {"asset": "00000000000000aa", "ms": 1}}\n'
 
 
 @pytest.mark.parametrize("gap_ms", [60, 400])
-def test_bytes_that_a_late_reader_has_not_read_count_from_the_oldest(watch: Watch, gap_ms: int) -> None:
-    """Guards against later bytes that move the age of those before them."""
+def test_unread_bytes_are_dated_by_the_oldest(watch: Watch, gap_ms: int) -> None:
+    """Guards against later bytes that change the age of earlier ones."""
     watch.hold_reader()
     watch.send(PURGE)
     time.sleep(gap_ms / 1000)
@@ -225,62 +224,62 @@
     eventually(lambda: not watch.client.has_unread())
 
 
-def test_fresh_bytes_hold_nothing_back(watch: Watch) -> None:
-    """A beat that came a moment ago is no reason to wait, however long it was quiet before."""
+def test_recent_bytes_do_not_block_writes(watch: Watch) -> None:
+    """A recent heartbeat does not block writes, even after a long time without lines."""
     time.sleep(0.3)
     watch.hold_reader()
     watch.client.lock.release()
     time.sleep(0.3)
     watch.client.lock.acquire()
     watch.send(b"0\n")
-    found = [watch.client.has_unread() for _ in range(20)]
+    results = [watch.client.has_unread() for _ in range(20)]
     watch.client.lock.release()
-    assert not any(found)
+    assert not any(results)
 
 
-def test_what_is_read_and_not_in_the_table_yet_holds_writes_back(watch: Watch) -> None:
+def test_events_read_but_not_yet_in_table_block_writes(watch: Watch) -> None:
     """Guards against a pause between the read of discovery's bytes and the table's turn."""
     assert not watch.table.is_behind()
     watch.send(PURGE)
     time.sleep(0.1)
-    assert not watch.client.has_unread(), "it is read"
+    assert not watch.client.has_unread(), "the bytes have been read"
     assert watch.table.is_behind()
     watch.settle()
     assert not watch.table.is_behind()
-    assert watch.changes, "the core decides anew what was held back"
+    assert watch.changes, "the core repeats the decisions on blocked writes"
 
 
-def test_a_read_between_the_two_looks_of_a_write_is_noticed(watch: Watch) -> None:
-    """Guards against a look at the reads before the look at the kernel: the bytes go from there to here."""
-    wait, look = watch.client.wait_for_bytes, watch.client.has_unread
-    go_on = threading.Event()
+def test_read_between_two_checks_of_a_write_is_detected(watch: Watch) -> None:
+    """Guards against checking pending reads before the kernel: bytes may be read between the two checks."""
+    wait, has_unread = watch.client.wait_for_bytes, watch.client.has_unread
+    may_read = threading.Event()
 
-    def wait_and_stop(lines: LineBuffer, sock: socket.socket) -> None:
+    def wait_then_block(lines: LineBuffer, sock: socket.socket) -> None:
         wait(lines, sock)
-        go_on.wait(5.0)
+        may_read.wait(5.0)
 
-    def look_late() -> bool:
-        go_on.set()
+    def has_unread_late() -> bool:
+        may_read.set()
         time.sleep(0.1)
-        return look()
+        return has_unread()
 
-    watch.client.wait_for_bytes = wait_and_stop  # type: ignore[method-assign]
+    watch.client.wait_for_bytes = wait_then_block  # type: ignore[method-assign]
     watch.send(b"0\n")
     watch.settle()
     watch.send(PURGE)
     time.sleep(0.1)
-    watch.table.has_unread = look_late
+    watch.table.has_unread = has_unread_late
     assert watch.table.is_behind()
 
 
 @pytest.mark.parametrize("gap_ms", [60, 400])
-def test_a_proof_is_as_old_as_its_own_bytes(watch: Watch, gap_ms: int) -> None:
+def test_proof_is_dated_by_its_own_bytes(watch: Watch, gap_ms: int) -> None:
     """Guards against a proof that is dated by later bytes of the same read."""
     watch.hold_reader()
     before_us = time.monotonic_ns() // 1000
     watch.send(b"0\n")
     time.sleep(gap_ms / 1000)
-    watch.send(b"{")  # of a line that is not complete
+    watch.send(b"{")  # of an incomplete line
     time.sleep(ARRIVAL_S)
     watch.client.lock.release()
     time.sleep(0.05)
@@ -288,7 +287,7 @@
     assert watch.table.validity.proved_us <= before_us + 30_000, watch.table.validity.proved_us - before_us
 
 
-def test_a_connection_that_replaces_another_counts_from_its_own_oldest_bytes(watch: Watch) -> None:
+def test_new_connection_is_dated_by_its_own_oldest_bytes(watch: Watch) -> None:
     watch.sock.close()
     watch.sock = watch.accept()
     watch.send(b"0\n")
@@ -303,19 +302,19 @@
     assert has_unread
 
 
-def test_a_purge_behind_a_request_in_one_turn_binds_that_request() -> None:
-    """Guards against an attempt that is decided before a purge, and counts as decided with it."""
-    with site(Terms(stamped=True)) as play:
-        item, mailbox = "00000000000000aa", play.node.core.mailbox
-        sock = socket.create_connection(play.http1, timeout=5.0)
+def test_purge_after_request_in_same_turn_applies_to_request() -> None:
+    """Guards against an attempt that is decided before a purge, but is treated as decided after it."""
+    with site(Terms(stamped=True)) as router:
+        item, mailbox = "00000000000000aa", router.node.core.mailbox
+        sock = socket.create_connection(router.http1, timeout=5.0)
         sock.sendall(request_head(1, 2500, item))
         assert read_response(sock)[0] == 200
-        with mailbox.turn_lock:  # as a turn of another thread's: what comes waits
+        with mailbox.turn_lock:  # as in a turn of another thread: messages wait
             sock.sendall(request_head(2, 2500, item))
             eventually(lambda: len(mailbox.messages) == 1)
-            time.sleep(0.01)  # stamps are whole milliseconds
+            time.sleep(0.01)  # timestamps are whole milliseconds
             unix_ms = int(time.time() * 1000)
-            play.fleet.discovery_server.purge(asset=item)
+            router.fleet.discovery_server.purge(asset=item)
             eventually(lambda: len(mailbox.messages) == 2)
         mailbox.run_pending()
         status, _, body = read_response(sock)
@@ -328,28 +327,28 @@
 
 def request_head(number: int, wait_ms: int, item: str = "") -> bytes:
     item = item or f"{number:016x}"
-    told = f"GET /ops/map-tiles/{item} HTTP/1.1\r\nHost: x\r\nReq-Id: {number:016x}\r\n"
-    return f"{told}Req-Wait-Ms: {wait_ms}\r\n\r\n".encode()
+    head = f"GET /ops/map-tiles/{item} HTTP/1.1\r\nHost: x\r\nReq-Id: {number:016x}\r\n"
+    return f"{head}Req-Wait-Ms: {wait_ms}\r\n\r\n".encode()
 
 
 def wire_id(number: int) -> str:
     return f"{number:016x}"
 
 
-def limits_over(calls: list[Call], sent_s: dict[str, float], wait_ms: int) -> dict[str, float]:
-    """By how many seconds the limits of calls exceed what their clients had left, by request; the largest."""
-    found: dict[str, float] = {}
+def limit_excess_s(calls: list[Call], sent_s: dict[str, float], wait_ms: int) -> dict[str, float]:
+    """Return the largest excess of each request's limits over its client's remaining time, in seconds."""
+    largest_s: dict[str, float] = {}
     for call in calls:
         left_s = sent_s[call.wire_id] + wait_ms / 1000 - call.at_s
-        over_s = int(call.fields["limit"]) / 1000 - left_s
-        found[call.wire_id] = max(over_s, found.get(call.wire_id, over_s))
-    return found
+        excess_s = int(call.fields["limit"]) / 1000 - left_s
+        largest_s[call.wire_id] = max(excess_s, largest_s.get(call.wire_id, excess_s))
+    return largest_s
 
 
 def send_two_while_stopped(
-    send: Callable[[int], None], stop: Callable[[], None], go_on: Callable[[], None], gap_ms: int
+    send: Callable[[int], None], stop: Callable[[], None], resume: Callable[[], None], gap_ms: int
 ) -> dict[str, float]:
-    """Two requests on one connection whose reader stands still; when each was sent."""
+    """Send two requests on one connection whose reader is stopped; return when each was sent."""
     sent_s: dict[str, float] = {}
     stop()
     time.sleep(0.02)
@@ -357,13 +356,13 @@
         sent_s[wire_id(number)] = time.monotonic()
         send(number)
         time.sleep(gap_ms / 1000 if number == 1 else ARRIVAL_S)
-    go_on()
+    resume()
     return sent_s
 
 
 @pytest.mark.parametrize("gap_ms", GAPS_MS)
-def test_a_request_before_a_second_one_keeps_its_own_deadline_behind_a_pause(edge: Edge, gap_ms: int) -> None:
-    """Guards against an unread request that counts from the arrival of the one behind it."""
+def test_request_keeps_its_deadline_when_another_follows_in_pause(edge: Edge, gap_ms: int) -> None:
+    """Guards against an unread request that is dated by the arrival of the next one."""
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -377,13 +376,13 @@
         gap_ms,
     )
     statuses = [read_answer(sock)[0] for _ in sent_s]
-    over_s = limits_over(edge.calls, sent_s, 2500)
-    assert statuses[1] == 200 and wire_id(2) in over_s
-    assert max(over_s.values()) <= SLACK_S, over_s
+    excess_s = limit_excess_s(edge.calls, sent_s, 2500)
+    assert statuses[1] == 200 and wire_id(2) in excess_s
+    assert max(excess_s.values()) <= SLACK_S, excess_s
 
 
 class Http2Router:
-    """A router process with HTTP/2 before stand-ins that record their calls."""
+    """A router process with HTTP/2 and stand-ins that record their calls."""
 
     def __init__(self) -> None:
         self.fleet = Fleet()
@@ -409,18 +408,16 @@
 
 @pytest.fixture
 def http2() -> Iterator[Http2Router]:
-    one = Http2Router()
+    router = Http2Router()
     try:
-        yield one
+        yield router
     finally:
-        one.close()
+        router.close()
 
 
 @pytest.mark.parametrize("gap_ms", [0, 400, 2000])
-def test_a_stream_before_a_second_one_keeps_its_own_deadline_behind_a_pause(
-    http2: Http2Router, gap_ms: int
-) -> None:
-    """Guards against a frame that counts from the arrival of the one behind it."""
+def test_stream_keeps_its_deadline_when_another_follows_in_pause(http2: Http2Router, gap_ms: int) -> None:
+    """Guards against a frame that is dated by the arrival of the next one."""
     process = http2.router.process
     sent_s = send_two_while_stopped(
         http2.send,
@@ -429,13 +426,13 @@
         gap_ms,
     )
     http2.read_answers()
-    over_s = limits_over(http2.calls, sent_s, 2500)
-    assert over_s and max(over_s.values()) <= SLACK_S, over_s
+    excess_s = limit_excess_s(http2.calls, sent_s, 2500)
+    assert excess_s and max(excess_s.values()) <= SLACK_S, excess_s
 
 
 @pytest.mark.parametrize("cls", ["map-tiles", "alert-ack"])
-def test_a_request_whose_time_ends_in_a_pause_is_refused_as_harmless(edge: Edge, cls: str) -> None:
-    """Guards against a 502, which says that it may have run, for a request that went to nobody."""
+def test_request_expired_in_pause_gets_503_without_attempt(edge: Edge, cls: str) -> None:
+    """Guards against a 502, which means that it may have run, for a request that was sent to no member."""
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -451,8 +448,8 @@
     assert (edge.requests[-1].status, edge.calls) == (503, []), edge.log()[-500:]
 
 
-def test_a_request_whose_time_ends_in_a_pause_is_told_when_to_come_back(edge: Edge) -> None:
-    """Guards against clients that all come back at once, right behind a pause."""
+def test_request_expired_in_pause_gets_retry_delay(edge: Edge) -> None:
+    """Guards against clients that all retry simultaneously after a pause."""
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -466,14 +463,14 @@
     assert head.startswith(b"http/1.1 503 ") and b"\r\nsrv-wait-ms: " in head, head
 
 
-# What is not late keeps its time
+# Requests that are read in time keep their time
 
 
 MAX_LOST_S = 0.4  # of a request's time, on a busy machine
 
 
-def test_requests_in_several_writes_on_a_rested_connection_keep_their_time(edge: Edge) -> None:
-    """Guards against an age that counts from the end of the request before."""
+def test_requests_in_several_writes_on_idle_connection_keep_their_time(edge: Edge) -> None:
+    """Guards against an age that is measured from the end of the previous request."""
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -487,21 +484,21 @@
         sock.sendall(head[:30])
         sock.sendall(head[30:])
     assert [read_answer(sock)[0] for _ in sent_s] == [200] * 3
-    over_s = limits_over(edge.calls, sent_s, 2500)
-    assert len(over_s) == 3 and min(over_s.values()) >= -MAX_LOST_S, over_s
+    excess_s = limit_excess_s(edge.calls, sent_s, 2500)
+    assert len(excess_s) == 3 and min(excess_s.values()) >= -MAX_LOST_S, excess_s
 
 
-def test_streams_in_several_writes_on_a_rested_connection_keep_their_time(http2: Http2Router) -> None:
+def test_streams_in_several_writes_on_idle_connection_keep_their_time(http2: Http2Router) -> None:
     time.sleep(1.5)
     sent_s = {wire_id(number): time.monotonic() for number in (1, 2, 3)}
     for number in (1, 2, 3):
         http2.send(number)
     http2.read_answers()
-    over_s = limits_over(http2.calls, sent_s, 2500)
-    assert len(over_s) == 3 and min(over_s.values()) >= -MAX_LOST_S, over_s
+    excess_s = limit_excess_s(http2.calls, sent_s, 2500)
+    assert len(excess_s) == 3 and min(excess_s.values()) >= -MAX_LOST_S, excess_s
 
 
-def test_a_request_that_comes_at_the_end_of_a_pause_keeps_its_time(edge: Edge) -> None:
+def test_request_at_end_of_pause_keeps_its_time(edge: Edge) -> None:
     edge.start()
     edge.ready()
     sock = edge.connect()
@@ -515,5 +512,5 @@
     time.sleep(ARRIVAL_S)
     edge.signal(signal.SIGCONT)
     assert read_answer(sock)[0] == 200
-    over_s = limits_over(edge.calls, sent_s, 2500)
-    assert min(over_s.values()) >= -MAX_LOST_S, over_s
+    excess_s = limit_excess_s(edge.calls, sent_s, 2500)
+    assert min(excess_s.values()) >= -MAX_LOST_S, excess_s
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -168,7 +168,7 @@
 
 
 def test_local_connect_errors_do_not_count_against_member(edge: Edge) -> None:
-    """Guards against local errors counters as the member's, whose request then went to another member."""
+    """Guards against local errors counted as the member's, whose request then went to another member."""
     edge.start()
     edge.ready()
     for name in ("EADDRNOTAVAIL", "EAGAIN", "ENOBUFS"):
