--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -27,11 +27,11 @@
 
 @pytest.fixture
 def edge(tmp_path: Path) -> Iterator[Edge]:
-    edge = Edge(tmp_path)
+    new_edge = Edge(tmp_path)
     try:
-        yield edge
+        yield new_edge
     finally:
-        edge.close()
+        new_edge.close()
 
 
 def call_later(seconds: float, action: Callable[[], None]) -> None:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -200,11 +200,11 @@
 
 @pytest.fixture
 def watch() -> Iterator[Watch]:
-    watch = Watch()
+    new_watch = Watch()
     try:
-        yield watch
+        yield new_watch
     finally:
-        watch.close()
+        new_watch.close()
 
 
 PURGE = b'{"rev": 1, "flush": {"asset": "00000000000000aa", "ms": 1}}\n'
