--- a/lupintack/arrivals.py
+++ b/lupintack/arrivals.py
@@ -78,7 +78,7 @@
         return self._earliest_us(self.received)
 
     def _add(self, position: int, earliest_us: int) -> None:
-        """Add a bound; raise it, and those after it, to the bound of the bytes before."""
+        """Add a bound; raise it and later bounds so that none is earlier than a bound before it."""
         later_bounds: list[Bound] = []
         while self._bounds[-1].position > position:
             later_bounds.append(self._bounds.pop())
