--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -125,7 +125,7 @@
                 evict = self.evict_idle_connection
                 pause_after_failed_accept(error, failures, self.lines, LOG, evict, self.accepting)
                 continue
-            failures.succeeded()
+            failures.on_success()
             never = struct.pack("ll", 0, 0)
             sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, never)  # inherited
             self.begin(sock, str(where[0]))
@@ -163,7 +163,7 @@
     def evict_idle_connection(self) -> None:
         """End the connection that has been idle for longest, to make room for a new one."""
         with self.lock:
-            number = self.stream_table.idlest(now_us(), MIN_IDLE_US)
+            number = self.stream_table.longest_idle(now_us(), MIN_IDLE_US)
             conn = self.connections.get(number or 0)
         if conn is not None:
             self.count("http2.closed.for_room")
