--- a/lupintack/decisions/attempt_planner.py
+++ b/lupintack/decisions/attempt_planner.py
@@ -95,7 +95,7 @@
             source, is_source_trial = self._selector.select_source(state, now_ms)
         endpoint = cache
         if settings.allows_origin_direct and (
-            cache is None or (not is_cache_trial and self._outliers.all_caches_ejected(now_ms))
+            cache is None or (not is_cache_trial and self._outliers.is_location_down(now_ms))
         ):
             # Parents stand in for the caches of a location that answers nothing.
             endpoint, source = source, origin
--- a/lupintack/decisions/attribution.py
+++ b/lupintack/decisions/attribution.py
@@ -124,10 +124,10 @@
         if not attempt.is_overdue:
             self._fill_limits.failed.record(now_ms, False)
         if self.settings.reports_fill_source == "all":
-            was_late_on_its_way = event.fill_wait_ms * 2.0 < event.elapsed_ms
+            was_delayed_on_path = event.fill_wait_ms * 2.0 < event.elapsed_ms
         else:
-            was_late_on_its_way = now_ms > attempt.objective_at_ms
-        self._fill_limits.late.record(now_ms, attempt.is_overdue and was_late_on_its_way)
+            was_delayed_on_path = now_ms > attempt.objective_at_ms
+        self._fill_limits.late.record(now_ms, attempt.is_overdue and was_delayed_on_path)
 
     def _record_lost_connection(self, attempt: AttemptState, outcome: Outcome, now_ms: float) -> None:
         """Count one failure for a connection that broke, whatever attempts were in flight on it."""
--- a/lupintack/decisions/endpoint_table.py
+++ b/lupintack/decisions/endpoint_table.py
@@ -69,9 +69,9 @@
         """Replace the settings; each endpoint gets its new number of routers and is ranked anew."""
         self.settings = settings
         for endpoint in self.by_id.values():
-            fresh = self.new_endpoint(endpoint.member, now_ms, fill_count).slow_start
-            endpoint.slow_start.router_count = fresh.router_count
-            endpoint.slow_start.borrowed_calls = fresh.borrowed_calls
+            recomputed = self.new_endpoint(endpoint.member, now_ms, fill_count).slow_start
+            endpoint.slow_start.router_count = recomputed.router_count
+            endpoint.slow_start.borrowed_calls = recomputed.borrowed_calls
             self._update_ranking(endpoint)
 
     def new_endpoint(self, member: Member, now_ms: float, fill_count: float) -> EndpointState:
--- a/lupintack/decisions/learned_state.py
+++ b/lupintack/decisions/learned_state.py
@@ -92,25 +92,25 @@
     router.popularity.priority_threshold = learned.priority_threshold
     for key, requested_ms in reversed(learned.last_requests):
         router.popularity.last_requests[key] = requested_ms
-    for id_, found in learned.endpoints.items():
+    for id_, learned_endpoint in learned.endpoints.items():
         endpoint = router.endpoints.by_id.get(id_)
         if endpoint is None:
             continue
         # A later start in the list makes it another process than the one that was observed.
-        if (found.started_ms or 0.0) >= endpoint.slow_start.started_ms - MAX_START_DIFFERENCE_MS:
-            _restore_endpoint(endpoint, found)
+        if (learned_endpoint.started_ms or 0.0) >= endpoint.slow_start.started_ms - MAX_START_DIFFERENCE_MS:
+            _restore_endpoint(endpoint, learned_endpoint)
     router.endpoints.weights_changed()
 
 
-def _restore_endpoint(endpoint: EndpointState, found: LearnedEndpoint) -> None:
+def _restore_endpoint(endpoint: EndpointState, learned: LearnedEndpoint) -> None:
     health = endpoint.health
-    if found.lost_ms is not None:
-        endpoint.slow_start.lost_ms = found.lost_ms
-    if found.ejected_until_ms is not None:
-        health.ejected_until_ms = found.ejected_until_ms
-    health.ejections = int(found.ejections or 0)
-    health.trial_successes = int(found.trial_successes or 0)
-    health.consecutive_failures = int(found.consecutive_failures or 0)
-    health.successes, health.failures = found.successes or 0.0, found.failures or 0.0
-    endpoint.load.reported = found.reported_load
-    endpoint.set_weight(found.weight or 1.0)
+    if learned.lost_ms is not None:
+        endpoint.slow_start.lost_ms = learned.lost_ms
+    if learned.ejected_until_ms is not None:
+        health.ejected_until_ms = learned.ejected_until_ms
+    health.ejections = int(learned.ejections or 0)
+    health.trial_successes = int(learned.trial_successes or 0)
+    health.consecutive_failures = int(learned.consecutive_failures or 0)
+    health.successes, health.failures = learned.successes or 0.0, learned.failures or 0.0
+    endpoint.load.reported = learned.reported_load
+    endpoint.set_weight(learned.weight or 1.0)
--- a/lupintack/decisions/outlier_detection.py
+++ b/lupintack/decisions/outlier_detection.py
@@ -62,7 +62,7 @@
             health.next_trial_ms = now_ms + self._jitter.spread(TRIAL_INTERVAL_MS)
         return is_due
 
-    def all_caches_ejected(self, now_ms: float) -> bool:
+    def is_location_down(self, now_ms: float) -> bool:
         """Return whether no cache of the location answers.
 
         The list reports a lost location only after seconds. Until then each of its caches looks as bad as the
--- a/lupintack/decisions/rendezvous.py
+++ b/lupintack/decisions/rendezvous.py
@@ -70,7 +70,7 @@
 def positions_of_bytes_from(min_byte: int) -> Callable[[bytes], list[int]]:
     """Return a function that finds the positions of bytes of at least `min_byte`."""
     pattern = re.compile(b"[\\x%02x-\\xff]" % min_byte)
-    return lambda data: [found.start() for found in pattern.finditer(data)]
+    return lambda data: [match.start() for match in pattern.finditer(data)]
 
 
 class Candidates(Generic[Item]):
@@ -151,12 +151,12 @@
                 cached.clear()
             candidates = cached[object_id] = self.candidates(object_id, count)
         if not candidates.ranking:
-            candidates.ranking = self.certain_order(candidates)
-        places = count
+            candidates.ranking = self.certain_ranking(candidates)
+        candidate_count = count
         while len(candidates.ranking) < count:
-            places *= 2
-            candidates = cached[object_id] = self.candidates(object_id, places)
-            candidates.ranking = self.certain_order(candidates)
+            candidate_count *= 2
+            candidates = cached[object_id] = self.candidates(object_id, candidate_count)
+            candidates.ranking = self.certain_ranking(candidates)
         return candidates.ranking
 
     def candidates(self, object_id: int, count: int) -> Candidates[Item]:
@@ -177,13 +177,13 @@
     def highest_bytes(self, object_id: int) -> bytes:
         """Return the highest byte of each member's score."""
         table = tables(object_id)
-        mixed = 0
+        combined = 0
         for number, column_bytes in enumerate(self.member_columns):
-            found = column_bytes.translate(table[number * BYTE_VALUES : (number + 1) * BYTE_VALUES])
-            mixed ^= int.from_bytes(found, "little")
-        return mixed.to_bytes(len(self.members), "little")
+            translated = column_bytes.translate(table[number * BYTE_VALUES : (number + 1) * BYTE_VALUES])
+            combined ^= int.from_bytes(translated, "little")
+        return combined.to_bytes(len(self.members), "little")
 
-    def certain_order(self, candidates: Candidates[Item]) -> list[Item]:
+    def certain_ranking(self, candidates: Candidates[Item]) -> list[Item]:
         """Return the candidates by the present shares, up to where another member could stand before them."""
         pairs = zip(candidates.log_scores, candidates.members, strict=True)
         ranked = sorted([(-log_score / member.share, member.id, member) for log_score, member in pairs])
--- a/lupintack/decisions/router.py
+++ b/lupintack/decisions/router.py
@@ -329,8 +329,8 @@
         if usable_parents < MIN_USABLE_PARENTS:
             self.selector.override_source(state, attempt, now_ms)
         load = attempt.endpoint.load.reported or 0.0
-        is_calm = not self.fill_limits.is_restricting() and load < MAX_LOAD_TO_HEDGE_SAME_CACHE
-        if settings.coalesces_fills and settings.allows_hedging and is_calm:
+        has_capacity = not self.fill_limits.is_restricting() and load < MAX_LOAD_TO_HEDGE_SAME_CACHE
+        if settings.coalesces_fills and settings.allows_hedging and has_capacity:
             self.retry_budget.spend(self._send(state, attempt.endpoint))
 
     def _replace_lost_attempt(self, state: RequestState, attempt: AttemptState, number: int) -> None:
--- a/lupintack/decisions/selection.py
+++ b/lupintack/decisions/selection.py
@@ -161,5 +161,5 @@
             is_trial = may_try and self._outliers.claim_trial(endpoint, now_ms)
             if is_trial or not self._outliers.is_ejected(endpoint, now_ms):
                 return Selection(endpoint, is_trial)
-        in_use = (one for one in candidates if not self._outliers.is_ejected(one, now_ms))
-        return Selection(next(in_use, None), False)
+        usable = (candidate for candidate in candidates if not self._outliers.is_ejected(candidate, now_ms))
+        return Selection(next(usable, None), False)
--- a/lupintack/decisions/transfer_times.py
+++ b/lupintack/decisions/transfer_times.py
@@ -52,15 +52,15 @@
         self.client_kb_per_s = client_kb_per_s
         for index, service_class in enumerate(classes):
             # An assignment to a slice past the end appends.
-            here = slice(index, index + 1)
+            index_slice = slice(index, index + 1)
             if index >= len(self.class_names) or self.class_names[index] != service_class.name:
                 initial_ms = service_class.latency_objective_ms * self.config.initial_objective_share
-                self.answer_ms[here] = [initial_ms]
-                self.transfer_ms[here] = [initial_ms]
-                self.answer_samples[here] = [0]
-                self.transfer_samples[here] = [0]
-            self.class_names[here] = [service_class.name]
-            self.deadline_ms[here] = [service_class.deadline_ms]
+                self.answer_ms[index_slice] = [initial_ms]
+                self.transfer_ms[index_slice] = [initial_ms]
+                self.answer_samples[index_slice] = [0]
+                self.transfer_samples[index_slice] = [0]
+            self.class_names[index_slice] = [service_class.name]
+            self.deadline_ms[index_slice] = [service_class.deadline_ms]
 
     def estimate_ms(self, class_index: int, size_kb: float) -> float:
         """Return the transfer time of a new request; a size of 0 is not stated.
--- a/tests/test_ejections.py
+++ b/tests/test_ejections.py
@@ -129,7 +129,7 @@
         cache.health.consecutive_failures = od.CONSECUTIVE_FAILURES_TO_EJECT
     for cache in table.caches[failing : failing + ejected]:
         outliers.eject(cache, "test", 100.0)
-    assert outliers.all_caches_ejected(100.0) == expected
+    assert outliers.is_location_down(100.0) == expected
 
 
 def test_an_attempt_is_likely_lost_at_an_ejected_endpoint_or_source() -> None:
