--- a/lupintack/decisions/admission.py
+++ b/lupintack/decisions/admission.py
@@ -12,11 +12,11 @@
 from lupintack.decisions.request_state import RequestState
 from lupintack.interface import Settings
 
-REDIRECT_LATENCY_RATIO = 0.4  # of the objective, from which only a copy in a cache is requested
-SHED_LATENCY_RATIO = 0.75  # of the objective, from which a request is rejected
-COALESCING_FACTOR = 1.8  # both are as many times more where misses join fills in flight, and so wait less
-MAX_ALTERNATIVE_CACHES = 2  # of the ranking for a busy cache's request, where each new copy is a fill
-FULL_LOAD = 0.85  # a cache that reports more gets no such request
+REDIRECT_LATENCY_RATIO = 0.4  # of the objective; above it another cache or only a cached copy is requested
+SHED_LATENCY_RATIO = 0.75  # of the objective; above it a request is rejected
+COALESCING_FACTOR = 1.8  # raises both thresholds where misses join fills in flight, and so wait less
+MAX_ALTERNATIVE_CACHES = 2  # first caches of the ranking that are considered where each new copy is a fill
+FULL_LOAD = 0.85  # requests that would have to wait at a cache with a higher reported load are rejected
 MEAN_RETRY_AFTER_MS = 100.0
 
 
@@ -33,7 +33,7 @@
         fill_limits: FillLimits,
         jitter: Jitter,
     ) -> None:
-        """Compose the parts that tell how busy a location is."""
+        """Store the components that the load of a location is computed from."""
         self.settings = settings
         self._endpoints = endpoints
         self._outliers = outliers
@@ -41,10 +41,10 @@
         self._jitter = jitter
 
     def expected_latency_ms(self, state: RequestState, endpoint: EndpointState, now_ms: float) -> float:
-        """Return the time an answer would take at a busy cache, or 0 where nothing would wait.
+        """Return the time an answer would take at a busy cache, or 0 if the request would not wait.
 
-        The location's other routers are taken to have as many attempts in flight there as this one had in the
-        recent mean: its own count of this moment says little of theirs.
+        Each other router of the location is assumed to have as many attempts in flight there as this one had
+        in the recent mean: this router's current count is a poor estimate of theirs.
         """
         load, slow_start = endpoint.load, endpoint.slow_start
         load.change_in_flight(now_ms, 0)
@@ -57,7 +57,7 @@
     def latency_ratio(
         self, state: RequestState, cache: EndpointState, objective_ms: float, now_ms: float
     ) -> float:
-        """Return the expected latency as a share of the objective, less where fills are coalesced."""
+        """Return the expected latency as a share of the objective, reduced where fills are coalesced."""
         ratio = self.expected_latency_ms(state, cache, now_ms) / objective_ms
         return ratio / (COALESCING_FACTOR if self.settings.coalesces_fills else 1.0)
 
@@ -66,10 +66,10 @@
         return latency_ratio > SHED_LATENCY_RATIO or (cache.load.reported or 0.0) > FULL_LOAD
 
     def idle_cache(self, state: RequestState, now_ms: float) -> EndpointState | None:
-        """Return the next cache without waiting, while enough of the location's caches are idle.
+        """Return the first idle cache of the ranking, or None if too few of the location's caches are idle.
 
-        Where misses join no fill in flight, each new copy is a fill more. When half the location is busy, the
-        fills are the cause, and more of them would make it worse.
+        Without coalescing, each new copy costs another fill. When half of the location is busy, fills are the
+        cause, and more of them would make it worse.
         """
         if self._fill_limits.is_restricting():
             return None
--- a/lupintack/decisions/attempt_planner.py
+++ b/lupintack/decisions/attempt_planner.py
@@ -17,7 +17,10 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptPlan:
-    """Where an attempt goes, and which source fills a miss there; no source: only a copy is requested."""
+    """The endpoint of an attempt and the source that fills a miss there.
+
+    Without a source, only a cached copy is requested.
+    """
 
     endpoint: EndpointState
     source: EndpointState | None
@@ -28,7 +31,7 @@
     uses_origin_fill: bool = False
 
     def drop_source(self) -> None:
-        """Request only a copy that the endpoint has."""
+        """Request only a copy that the endpoint already has."""
         self.source = None
         self.is_source_trial = False
 
@@ -41,7 +44,7 @@
 
 
 class AttemptPlanner:
-    """Composes selection, retries, admission and the limit of origin fills into a plan."""
+    """Combines selection, retries, admission and the limit of origin fills into a plan."""
 
     __slots__ = (
         "_admission", "_endpoints", "_origin_fills", "_outliers", "_selector", "settings",
@@ -56,7 +59,7 @@
         admission: AdmissionControl,
         origin_fills: OriginFillLimit,
     ) -> None:
-        """Compose the parts that a plan needs."""
+        """Store the components that a plan is made from."""
         self.settings = settings
         self._endpoints = endpoints
         self._outliers = outliers
@@ -67,9 +70,10 @@
     def plan(
         self, state: RequestState, now_ms: float, preferred: EndpointState | None = None
     ) -> AttemptPlan | None:
-        """Return the next attempt, to `preferred` if that may be; None sets the request's reason.
+        """Return the next attempt, at `preferred` if that endpoint may receive it.
 
-        A plan that is returned counts already as a fill at the origin, where it uses one.
+        Return None and set `state.reason` if no attempt may be sent. A returned plan that uses a fill at the
+        origin has already been counted there.
         """
         if now_ms >= state.request.deadline_ms:
             state.reason = "its time is up"
@@ -97,7 +101,7 @@
         if settings.allows_origin_direct and (
             cache is None or (not is_cache_trial and self._outliers.is_location_down(now_ms))
         ):
-            # Parents stand in for the caches of a location that answers nothing.
+            # If no cache of the location answers, requests are sent to parents directly.
             endpoint, source = source, origin
         if endpoint is None:
             state.reason = "no member may be sent to"
@@ -122,15 +126,15 @@
                 state.reason = "its cache is busy"
                 return False
             else:
-                # A copy in its cache still comes in time; a fill would have to wait with the others.
+                # A cached copy can still be served in time; a fill would wait behind the other requests.
                 plan.drop_source()
         return True
 
     def _reserve_origin_fill(self, plan: AttemptPlan, state: RequestState, now_ms: float) -> bool:
-        """Count a fill at the origin; without capacity there, only a copy in the cache is requested."""
+        """Count a fill at the origin; without capacity there, request only a cached copy."""
         origin = self._endpoints.origin
         if plan.only_if_cached and plan.source is origin:
-            plan.drop_source()  # the origin has every object: naming it would be no restraint
+            plan.drop_source()  # the origin has every object, so only-if-cached would not prevent the fill
         if state.is_write or origin is None or (plan.endpoint is not origin and plan.source is not origin):
             return True
         if self._origin_fills.acquire(self.settings.max_origin_fills, now_ms):
--- a/lupintack/decisions/attribution.py
+++ b/lupintack/decisions/attribution.py
@@ -20,7 +20,7 @@
 
 
 class OutcomeAttribution:
-    """Passes each outcome on to the parts that learn from it."""
+    """Passes each outcome on to the components that learn from it."""
 
     __slots__ = ("_emit", "_fill_limits", "_outliers", "_transfer_times", "settings")
 
@@ -32,7 +32,7 @@
         transfer_times: TransferTimeEstimator,
         emit: Callable[[Action], None],
     ) -> None:
-        """`emit` takes the request to store an answer in the router's own cache."""
+        """`emit` receives the actions that store an answer in the local cache."""
         self.settings = settings
         self._outliers = outliers
         self._fill_limits = fill_limits
@@ -40,9 +40,9 @@
         self._emit = emit
 
     def record_overdue(self, attempt: AttemptState, now_ms: float) -> None:
-        """Attribute silence: a cache that has answered another attempt since then points to the source.
+        """Count an overdue attempt against the source if the cache has answered since, else the cache.
 
-        A fixed time without answers says nothing at a router that sends a cache two requests a second.
+        A fixed time without answers is no evidence: a router may send a cache only two requests a second.
         """
         if attempt.endpoint.health.last_answer_ms <= attempt.sent_ms:
             self._outliers.record_cache_failure(attempt, now_ms)
@@ -67,7 +67,7 @@
             if outcome == Outcome.REJECTED and attempt.source is not None and status == CacheStatus.UNKNOWN:
                 self._outliers.record_failed_fill(attempt.source, attempt, now_ms)
         elif outcome == Outcome.ERROR:
-            # A request that fails at every cache is a bad one; another cache's answer decides that.
+            # A request that fails at every cache is itself invalid: counted once another cache answers it.
             if state is not None:
                 state.errored_attempts.append(attempt)
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
@@ -76,20 +76,20 @@
             self.record_overdue(attempt, now_ms)
 
     def _record_response(self, attempt: AttemptState, outcome: Outcome, now_ms: float) -> None:
-        """Note that an endpoint answers; an error doesn't end its failures in a row."""
+        """Record that an endpoint answers; an error does not reset its consecutive failures."""
         health = attempt.endpoint.health
         health.last_answer_ms = now_ms
         if outcome != Outcome.ERROR:
             health.consecutive_failures = 0
 
     def _may_be_at_capacity(self, outcome: Outcome) -> bool:
-        """Return whether a rejection may come from a source that had no capacity."""
+        """Return whether a rejection may be caused by a source without capacity."""
         return outcome == Outcome.REJECTED and self.settings.reports_fill_source != "all"
 
     def _record_answer(
         self, attempt: AttemptState, event: AttemptEnded, state: RequestState | None, now_ms: float
     ) -> None:
-        """Count an answer for the cache, for the source of a fill, and against caches that failed before."""
+        """Count a success for the cache and the fill source, and a failure for caches that failed before."""
         if state is not None:
             self._learn_transfer_time(event, state)
         self._outliers.record_success(attempt.endpoint, attempt, now_ms)
@@ -116,10 +116,10 @@
         self._transfer_times.record(state.request.class_index, event.elapsed_ms, transfer_only)
 
     def _record_fill_time(self, attempt: AttemptState, event: AttemptEnded, now_ms: float) -> None:
-        """Count a fill as timely or late on its way.
+        """Count a fill as timely or as delayed on the network path.
 
-        A fill that waited for its source would wait as long beside fewer others. Where that wait is not
-        reported, only an answer past the objective shows that the way is congested.
+        A fill that waited for its source would have waited as long with fewer concurrent fills. Where that
+        wait is not reported, only an answer after the objective indicates a congested path.
         """
         if not attempt.is_overdue:
             self._fill_limits.failed.record(now_ms, False)
@@ -130,11 +130,11 @@
         self._fill_limits.late.record(now_ms, attempt.is_overdue and was_delayed_on_path)
 
     def _record_lost_connection(self, attempt: AttemptState, outcome: Outcome, now_ms: float) -> None:
-        """Count one failure for a connection that broke, whatever attempts were in flight on it."""
+        """Count one failure for a broken connection, however many attempts were in flight on it."""
         endpoint = attempt.endpoint
         if outcome == Outcome.RESET and attempt.sent_ms <= endpoint.health.last_failure_ms:
             return
         if outcome == Outcome.CONNECT_FAILED or endpoint.health.consecutive_failures:
-            # The process is down, whatever the list says; it will be in slow start when it answers again.
+            # The process is down even if the list has it as ready; slow start begins when it answers again.
             endpoint.slow_start.lost_ms = now_ms
         self._outliers.record_cache_failure(attempt, now_ms)
--- a/lupintack/decisions/concurrency.py
+++ b/lupintack/decisions/concurrency.py
@@ -1,8 +1,8 @@
-"""Adaptive limits of cache fills: a share of them while many fail or are late, a count of them at the origin.
+"""Limits of cache fills: an adaptive share while many fail or are late, and a maximum count at the origin.
 
-Fills share links and sources, so too many at once are all late. A router sees only its own part of them, but
-its own outcomes are those of everybody: each router lets the same share through, drawn fill by fill, and the
-sum over the fleet follows without a count of its routers.
+Fills share links and sources, so too many concurrent ones are all late. A router sees only its own fills, but
+they are a sample of the fleet's: each router allows the same share of its fills, chosen at random one by one,
+so the fleet's total is limited without knowing the number of routers.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
     """Factor of the allowed share after a bad window, below 1."""
 
     min_share: float
-    """Lower bound of the allowed share: some fills must show when the cause has gone."""
+    """Lower bound of the allowed share: some fills are needed to detect that the cause has gone."""
 
     window_ms: float
-    """Shortest time over which outcomes are judged together."""
+    """Minimum length of a window of outcomes."""
 
     min_samples: int
-    """Outcomes that a window needs."""
+    """Minimum number of outcomes in a window."""
 
 
 FAILED_FILLS_CONFIG = AdaptiveLimitConfig(
@@ -57,7 +57,7 @@
         self.window_started_ms = 0.0
 
     def record(self, now_ms: float, failed: bool) -> None:
-        """Count one outcome; adapt the share when the window is long and full enough."""
+        """Count one outcome; adapt the share at the end of a window of sufficient length and sample count."""
         self.failures += failed
         self.successes += not failed
         total = self.successes + self.failures
@@ -71,7 +71,7 @@
 
 
 class FillLimits:
-    """The share of fills that is requested, by their failures and by their lateness."""
+    """The share of fills that is requested, limited by failed and by late fills."""
 
     __slots__ = ("failed", "late")
 
@@ -90,18 +90,18 @@
 
 
 class OriginFillLimit:
-    """Fills in flight at the origin, under a bound. When it is lowered, fills beyond it run to their end."""
+    """Fills in flight at the origin, up to a limit; after it is lowered, fills in excess of it complete."""
 
     __slots__ = ("in_flight", "peak_demand", "peak_updated_ms")
 
     def __init__(self) -> None:
         """Start with no fill in flight."""
         self.in_flight = 0
-        self.peak_demand = 0.0  # fills wanted at once, decaying
+        self.peak_demand = 0.0  # peak of concurrently requested fills, decaying
         self.peak_updated_ms = 0.0
 
     def acquire(self, max_fills: int, now_ms: float) -> bool:
-        """Count one more fill and return True where the bound allows it; a negative bound is none."""
+        """Count one more fill and return True if the limit allows it; a negative limit means none."""
         self.peak_demand, self.peak_updated_ms = max(self.demand(now_ms), self.in_flight + 1.0), now_ms
         if 0 <= max_fills <= self.in_flight:
             return False
@@ -109,10 +109,10 @@
         return True
 
     def release(self, uses_origin_fill: bool) -> None:
-        """Note that an attempt has ended, and whether it was an origin fill."""
+        """Release the slot of an attempt that has ended, if it was an origin fill."""
         self.in_flight -= uses_origin_fill
 
     def demand(self, now_ms: float) -> float:
-        """Return how many fills were recently wanted at once, granted or not."""
+        """Return the recent peak of concurrently requested fills, granted or not."""
         age_ms = self.peak_updated_ms - now_ms
         return max(float(self.in_flight), self.peak_demand * math.exp(age_ms / ORIGIN_DEMAND_WINDOW_MS))
--- a/lupintack/decisions/endpoint_table.py
+++ b/lupintack/decisions/endpoint_table.py
@@ -28,7 +28,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in use; assigning others ranks nothing anew."""
+        """The settings in use; assigning others does not update the rankings."""
         return self._settings
 
     @settings.setter
@@ -50,7 +50,7 @@
         return origins[0] if origins else None
 
     def apply(self, event: MemberList, now_ms: float, fill_count: float) -> None:
-        """Apply a full list or its changes; an endpoint that drains or is removed gets no more attempts."""
+        """Apply a full list or its changes; a draining or removed endpoint gets no more attempts."""
         changed = {} if event.kind == ListKind.DELTA else dict(self.by_id)
         for endpoint in changed.values():
             endpoint.is_ready = False
@@ -66,7 +66,7 @@
             self._update_ranking(endpoint)
 
     def apply_settings(self, settings: Settings, now_ms: float, fill_count: float) -> None:
-        """Replace the settings; each endpoint gets its new number of routers and is ranked anew."""
+        """Replace the settings; update each endpoint's number of routers and its ranking."""
         self.settings = settings
         for endpoint in self.by_id.values():
             recomputed = self.new_endpoint(endpoint.member, now_ms, fill_count).slow_start
@@ -88,12 +88,12 @@
         return EndpointState(member, EndpointHealth(fill_count, now_ms), slow_start)
 
     def weights_changed(self) -> None:
-        """Note that weights of caches or parents have changed."""
+        """Update the rankings after weights of caches or parents have changed."""
         self.cache_ranking.weights_changed()
         self.parent_ranking.weights_changed()
 
     def _update_ranking(self, endpoint: EndpointState) -> None:
-        """Rank an endpoint in its tier, or no longer; the cost does not grow with the other endpoints."""
+        """Add an endpoint to the ranking of its tier, or remove it; other endpoints add no cost."""
         settings, member, is_ready = self._settings, endpoint.member, endpoint.is_ready
         if is_ready:
             self.by_id[endpoint.id] = endpoint
--- a/lupintack/decisions/endpoints.py
+++ b/lupintack/decisions/endpoints.py
@@ -8,10 +8,10 @@
 from lupintack.decisions.slow_start import SlowStart
 from lupintack.interface import Member
 
-HEALTH_DECAY_FILLS = 24.0  # by own fills, not by time: one of many routers sees few in any span
+HEALTH_DECAY_FILLS = 24.0  # counted in fills, not in time: one of many routers sees few fills in any period
 MEAN_IN_FLIGHT_WINDOW_MS = 2000.0
-CAPACITY_EXPONENT = 0.5  # a member's share of the objects: memory grows less than capacity
-MAX_WEIGHT = 1.5  # and its inverse is the least, so that few objects ever move
+CAPACITY_EXPONENT = 0.5  # capacity to share of the objects: memory grows more slowly than capacity
+MAX_WEIGHT = 1.5  # its inverse is the minimum; the bounds limit how many objects move
 
 
 @dataclass(slots=True, eq=False)
@@ -31,14 +31,14 @@
     logged_ms: float = -math.inf
 
     def decay(self, fill_count: float) -> None:
-        """Let older outcomes count less, by the router's own count of fills."""
+        """Decay older outcomes by the number of fills that this router has counted since."""
         factor = math.exp((self.decayed_at_fills - fill_count) / HEALTH_DECAY_FILLS)
         self.successes *= factor
         self.failures *= factor
         self.decayed_at_fills = fill_count
 
     def restart(self) -> None:
-        """Forget the outcomes and ejections of the process that ran before."""
+        """Discard the outcomes and ejections of the previous process."""
         self.successes = self.failures = 0.0
         self.ejections = self.consecutive_failures = 0
         self.ejected_until_ms = -math.inf
@@ -54,7 +54,7 @@
     reported: float | None = None
 
     def change_in_flight(self, now_ms: float, change: int) -> None:
-        """Bring the mean up to date, then add `change`; the mean stands for the other routers' attempts."""
+        """Update the mean, then add `change`; the mean is the estimate of each other router's attempts."""
         decay = math.exp((self.mean_updated_ms - now_ms) / MEAN_IN_FLIGHT_WINDOW_MS)
         self.mean_in_flight = self.in_flight + (self.mean_in_flight - self.in_flight) * decay
         self.mean_updated_ms = now_ms
@@ -62,7 +62,7 @@
 
 
 class EndpointState:
-    """All that is known of one endpoint."""
+    """State that the router has observed for one endpoint."""
 
     __slots__ = ("health", "id", "is_ready", "load", "member", "share", "slow_start", "weight")
 
@@ -75,22 +75,22 @@
         self.load = EndpointLoad()
         self.is_ready = False
         self.weight = 1.0
-        self.share = 1.0  # of its tier's objects, against the other shares
+        self.share = 1.0  # of its tier's objects, relative to the other shares
 
     def set_weight(self, weight: float) -> None:
-        """Change the share of the objects; the caller tells the ranking."""
+        """Set the weight and the share of the objects; the caller must update the ranking."""
         self.weight = min(MAX_WEIGHT, max(1.0 / MAX_WEIGHT, weight))
         self.share = self.weight * self.member.capacity**CAPACITY_EXPONENT
 
     def restart(self) -> None:
-        """Forget what belongs to the process that ran before: a restarted endpoint is in slow start."""
+        """Discard the state of the previous process: a restarted endpoint is in slow start."""
         self.health.restart()
         self.slow_start.restart()
         self.load.reported = None
         self.weight = 1.0
 
     def update(self, member: Member, started_ms: float, is_ready: bool) -> None:
-        """Apply a line of the endpoint list."""
+        """Apply an entry of the endpoint list."""
         if started_ms > self.slow_start.started_ms:
             self.restart()
         self.member = member
--- a/lupintack/decisions/jitter.py
+++ b/lupintack/decisions/jitter.py
@@ -1,4 +1,4 @@
-"""Jitter for waits, so that the routers of a fleet don't act in the same moment. Pure."""
+"""Jitter for waits, so that the routers of a fleet do not act simultaneously. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RandomSource(Protocol):
-    """Random draws; the router has the one seeded generator."""
+    """Source of random numbers; the router owns the only seeded generator."""
 
     def random(self) -> float:
         """Return a number from 0 up to but not including 1."""
@@ -21,12 +21,12 @@
 
 
 class Jitter:
-    """Spreads waits by the router's own seed."""
+    """Randomizes waits with the router's seeded generator."""
 
     __slots__ = ("_random",)
 
     def __init__(self, random: RandomSource) -> None:
-        """`random`: the source of the draws, one for each spread wait."""
+        """`random`: the source of one random number for each wait."""
         self._random = random
 
     def spread(self, wait_ms: float) -> float:
--- a/lupintack/decisions/learned_state.py
+++ b/lupintack/decisions/learned_state.py
@@ -1,4 +1,4 @@
-"""A typed record of what the decisions learned, that a process hands over to its successor. Pure."""
+"""A typed record of the learned state of the decisions, handed over from a process to its successor. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lupintack.decisions.endpoints import EndpointState
 from lupintack.decisions.router import Router
 
-MAX_LEARNED_REQUESTS = 10_000  # the newest: a minute of busy traffic
+MAX_LEARNED_REQUESTS = 10_000  # the most recent ones: a minute of busy traffic
 MAX_START_DIFFERENCE_MS = 1000.0  # two processes read their clocks at different moments
 
 
@@ -23,7 +23,7 @@
 
 
 class LearnedEndpoint(NamedTuple):
-    """State of an endpoint, in the order of the handoff's record; None or an infinity: it never happened."""
+    """State of an endpoint, in the order of the handoff's record; None or infinity means never."""
 
     started_ms: float | None
     lost_ms: float | None
@@ -50,7 +50,7 @@
 
 
 def learned_state(router: Router) -> LearnedState:
-    """Return what a router has learned."""
+    """Return the learned state of a router."""
     times = router.transfer_times
     means = zip(times.answer_ms, times.transfer_ms, times.answer_samples, times.transfer_samples, strict=True)
     names = (service_class.name for service_class in router.settings.classes)
@@ -80,7 +80,7 @@
 
 
 def restore(router: Router, learned: LearnedState) -> None:
-    """Give a router that has its first list, before its first request, what another one learned."""
+    """Restore the state that another router learned, after the first list and before the first request."""
     times = router.transfer_times
     for index, service_class in enumerate(router.settings.classes):
         means = learned.classes.get(service_class.name)
@@ -96,7 +96,7 @@
         endpoint = router.endpoints.by_id.get(id_)
         if endpoint is None:
             continue
-        # A later start in the list makes it another process than the one that was observed.
+        # A later start in the list means that the process is not the one that was observed.
         if (learned_endpoint.started_ms or 0.0) >= endpoint.slow_start.started_ms - MAX_START_DIFFERENCE_MS:
             _restore_endpoint(endpoint, learned_endpoint)
     router.endpoints.weights_changed()
--- a/lupintack/decisions/load_reports.py
+++ b/lupintack/decisions/load_reports.py
@@ -9,22 +9,23 @@
 
 CPU_SHARE_FIELD = "cpu_share"
 LOAD_SMOOTHING = 0.1  # weight of the newest report
-LOAD_OFFSET = 0.05  # added to loads before they are compared: idle caches are alike
+LOAD_OFFSET = 0.05  # added to loads before they are compared, so that idle caches count as equal
 REWEIGHT_INTERVAL_MS = 1000.0
-REWEIGHT_EXPONENT = 0.05  # of (mean load / own load): loads even out in minutes
+REWEIGHT_EXPONENT = 0.05  # of (mean load / own load): loads converge within minutes
 
 
 class LoadReports:
-    """Follows reported loads; a busy cache's weight falls slowly.
+    """Tracks reported loads and slowly lowers the weight of busy caches.
 
-    Objects differ so much that caches of one location differ in load fivefold on a quiet day. Quick or large
-    moves would cost more hits than they save waiting, hence the small exponent and the bounds of a weight.
+    Objects differ so much that the loads of caches in one location differ fivefold even at low traffic. Quick
+    or large moves of objects would cost more cache hits than they save in waiting, hence the small exponent
+    and the bounds of a weight.
     """
 
     __slots__ = ("_cpu_share_index", "_endpoints", "_reweighted_ms")
 
     def __init__(self, endpoints: EndpointTable, report_fields: tuple[str, ...]) -> None:
-        """`report_fields`: the names of a report's values, in their order."""
+        """`report_fields`: the names of the values of a report, in order."""
         self._endpoints = endpoints
         self._reweighted_ms = 0.0
         self._cpu_share_index = (
@@ -32,7 +33,7 @@
         )
 
     def record(self, endpoint: EndpointState, report: tuple[float, ...], now_ms: float) -> None:
-        """Take in a report; one without a usable processor load changes nothing."""
+        """Apply a report; one without a valid processor load is ignored."""
         index = self._cpu_share_index
         if index is None or index >= len(report) or not 0.0 <= report[index] < math.inf:
             return
--- a/lupintack/decisions/outlier_detection.py
+++ b/lupintack/decisions/outlier_detection.py
@@ -1,6 +1,7 @@
-"""Outlier detection: ejects endpoints that fail, tests them by trial requests, and takes them back. Pure.
+"""Outlier detection: ejects failing endpoints, tests them with trial requests, and readmits them. Pure.
 
-A cache is ejected by failures in a row, a parent by its share of failed fills against that of its peers.
+A cache is ejected after consecutive failures, a parent when its share of failed fills exceeds that of its
+peers.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 CONSECUTIVE_FAILURES_TO_EJECT = 4
 OUTLIER_MARGIN = 0.3  # by which a parent's failed share must exceed its peers'
-OUTLIER_MARGIN_WITHOUT_HIT_REPORTS = 0.12  # hits count for the parent too, and dilute its failed fills
-OUTLIER_STANDARD_ERRORS = 1.5  # of its own share, on top of the margin
-PRIOR_SUCCESSES = 2.0  # that each parent starts with
-MIN_FAILURES_TO_EJECT = 2.5  # one object that can't be filled condemns no parent
-BASE_EJECTION_MS = 2500.0  # doubles with each failed return
+OUTLIER_MARGIN_WITHOUT_HIT_REPORTS = 0.12  # hits also count as its successes and dilute the failed fills
+OUTLIER_STANDARD_ERRORS = 1.5  # of the parent's own share, added to the margin
+PRIOR_SUCCESSES = 2.0  # assumed for each parent at the start
+MIN_FAILURES_TO_EJECT = 2.5  # a single object that cannot be filled must not eject a parent
+BASE_EJECTION_MS = 2500.0  # doubles with each further ejection
 MAX_EJECTION_MS = 8000.0
 MAX_DOUBLINGS = 6
 TRIAL_INTERVAL_MS = 400.0
@@ -36,7 +37,7 @@
     def __init__(
         self, settings: Settings, endpoints: EndpointTable, jitter: Jitter, emit: Callable[[Action], None]
     ) -> None:
-        """`emit` takes the log lines."""
+        """`emit` receives the log lines."""
         self.settings = settings
         self.fill_count = 0.0
         self._endpoints = endpoints
@@ -46,14 +47,14 @@
         self._margin = OUTLIER_MARGIN if reports_hits else OUTLIER_MARGIN_WITHOUT_HIT_REPORTS
 
     def is_ejected(self, endpoint: EndpointState, now_ms: float) -> bool:
-        """Return whether an endpoint is ejected, or not yet proven after it."""
+        """Return whether an endpoint is ejected or has not yet passed its trial requests."""
         health = endpoint.health
         return health.ejections > 0 and (
             health.trial_successes < TRIAL_SUCCESSES_TO_RECOVER or now_ms < health.ejected_until_ms
         )
 
     def claim_trial(self, endpoint: EndpointState, now_ms: float) -> bool:
-        """Return whether an ejected endpoint may be sent a trial request now, and count this as one."""
+        """Return whether an ejected endpoint may be sent a trial request now, and schedule the next one."""
         health = endpoint.health
         is_due = self.is_ejected(endpoint, now_ms) and now_ms >= max(
             health.ejected_until_ms, health.next_trial_ms
@@ -65,8 +66,8 @@
     def is_location_down(self, now_ms: float) -> bool:
         """Return whether no cache of the location answers.
 
-        The list reports a lost location only after seconds. Until then each of its caches looks as bad as the
-        others, so that none is ejected by comparison: failures in a row count here as well.
+        The list reports a lost location only after seconds. Until then all of its caches fail alike, so none
+        is ejected by comparison with the others: consecutive failures count here as well.
         """
         for cache in self._endpoints.caches:
             only_fails = cache.health.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
@@ -93,7 +94,7 @@
                 self._log(endpoint, "answers in time again: back in use", now_ms)
 
     def record_failed_fill(self, source: EndpointState, attempt: AttemptState, now_ms: float) -> None:
-        """Count a failed fill, and eject a parent that stands out among its peers."""
+        """Count a failed fill, and eject a parent that is an outlier among its peers."""
         source.health.decay(self.fill_count)
         source.health.failures += 1.0
         self.fill_count += 1.0
@@ -104,9 +105,9 @@
             self.eject(source, "fails far more than its peers", now_ms)
 
     def record_cache_failure(self, attempt: AttemptState, now_ms: float) -> None:
-        """Count a cache's failure, and eject a cache that only fails.
+        """Count a failure of a cache, and eject the cache after consecutive failures.
 
-        While most other caches fail too, a cache is ejected only where parents can stand in.
+        While most other caches fail too, a cache is ejected only if requests may be sent to parents directly.
         """
         cache = attempt.endpoint
         cache.health.consecutive_failures += 1
@@ -125,7 +126,7 @@
                 self.eject(cache, "fails and answers nothing", now_ms)
 
     def eject(self, endpoint: EndpointState, reason: str, now_ms: float) -> None:
-        """Take an endpoint out of use for a while; its objects go to the next of the ranking."""
+        """Eject an endpoint temporarily; its objects move to the next endpoint of the ranking."""
         health = endpoint.health
         wait_ms = self._jitter.spread(BASE_EJECTION_MS * 2.0 ** min(health.ejections, MAX_DOUBLINGS))
         health.ejected_until_ms = now_ms + min(MAX_EJECTION_MS, wait_ms)
@@ -135,15 +136,15 @@
         self._log(endpoint, f"{reason}: out of use", now_ms)
 
     def _is_outlier(self, parent: EndpointState, now_ms: float) -> bool:
-        """Return whether a parent's share of failed fills stands out.
+        """Return whether a parent's share of failed fills exceeds that of its peers by the margin.
 
-        All parents fail alike when the cause lies elsewhere, in the own link or the origin: then none does.
+        When the cause is the router's own link or the origin, all parents fail alike and none is an outlier.
         """
         parents = self._endpoints.parents
         peers = [peer for peer in parents if peer is not parent and not self.is_ejected(peer, now_ms)]
         origin = self._endpoints.origin
         if not peers and origin is not None:
-            peers = [origin]  # the last parent is compared with the origin, by the fills sent there
+            peers = [origin]  # the last parent is compared with the origin by its fills
         health = parent.health
         if health.failures < MIN_FAILURES_TO_EJECT or parent not in parents or not peers:
             return False
--- a/lupintack/decisions/popularity.py
+++ b/lupintack/decisions/popularity.py
@@ -1,4 +1,4 @@
-"""Retention priority of an object's part, by the gap since its last request and its size. Pure."""
+"""Retention priority of a part of an object, by the time since its last request and its size. Pure."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import NamedTuple
 
 MAX_TRACKED_PARTS = 40000  # several retention times of busy traffic
-REQUEST_HISTORY_MS = 60000.0  # several retention times, as new objects come all day
-THRESHOLD_STEP = 0.05  # of the running quantile of log(gap x size)
-TOP_PRIORITY_SHARE = 0.25  # of the repeated requests; more fills caches with objects that were popular once
+REQUEST_HISTORY_MS = 60000.0  # several retention times; bounds the table as new objects keep arriving
+THRESHOLD_STEP = 0.05  # step of the running quantile of log(gap x size)
+TOP_PRIORITY_SHARE = 0.25  # of the repeated requests; a larger share retains objects that were popular once
 
 NOT_RETAINED = 0
 PRIORITY_FIRST_REQUEST = 1
@@ -18,7 +18,7 @@
 
 
 class Popularity(NamedTuple):
-    """How long a cache should retain an object's part."""
+    """How long a cache should retain a part of an object."""
 
     retention_priority: int
     is_first_request: bool
@@ -30,12 +30,12 @@
     __slots__ = ("last_requests", "priority_threshold")
 
     def __init__(self) -> None:
-        """Start without any request remembered."""
+        """Start with an empty history."""
         self.last_requests: OrderedDict[tuple[int, int], float] = OrderedDict()
         self.priority_threshold = 0.0  # of log(gap in ms x size in KB); 0 before the first repeat
 
     def rank(self, object_id: int, part: int, size_kb: float, is_write: bool, now_ms: float) -> Popularity:
-        """Remember a request and return its popularity; a size of 0 is not stated."""
+        """Record a request and return its popularity; a size of 0 means unknown."""
         last_ms = self._remember((object_id, part), now_ms)
         if is_write:
             return Popularity(NOT_RETAINED, False)
@@ -49,7 +49,7 @@
         return Popularity(priority, False)
 
     def _remember(self, key: tuple[int, int], now_ms: float) -> float | None:
-        """Note a request, and return when the one before it was."""
+        """Record a request, and return the time of the previous one or None."""
         requests = self.last_requests
         last_ms = requests.pop(key, None)
         requests[key] = now_ms
--- a/lupintack/decisions/purges.py
+++ b/lupintack/decisions/purges.py
@@ -1,4 +1,4 @@
-"""Purges, and the oldest copy that may answer a request after them. Pure."""
+"""Recent purges, and the maximum age of a copy that may answer a request after them. Pure."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from lupintack.interface import Purged, Settings
 
 PURGE_MARGIN_MS = 4000.0  # a purge is remembered this long after it has settled
-MAX_PURGES = 4096  # beyond that the oldest binds every object
-AGE_MARGIN_MS = 1.0  # taken off an age bound against rounding
-MIN_AGE_MS = 0.01  # 0 would mean the default
-LOCAL_COPY_MARGIN_MS = 50.0  # taken off the age bound: the copy is still on its way when its age is computed
-MAX_LOCAL_LINK_WAIT_RATIO = 0.2  # of the latency objective; beyond that the caches serve
+MAX_PURGES = 4096  # beyond that the oldest one is dropped and applies to every object
+AGE_MARGIN_MS = 1.0  # subtracted from an age bound against rounding
+MIN_AGE_MS = 0.01  # 0 on the wire means the default age
+LOCAL_COPY_MARGIN_MS = 50.0  # subtracted from the age bound: the copy ages further while it is sent
+MAX_LOCAL_LINK_WAIT_RATIO = 0.2  # of the latency objective; beyond that a cache serves the request
 
 
 class FreshnessBound(NamedTuple):
     """Which copies may answer a request."""
 
     max_age_ms: float
-    """0: the default of the cache."""
+    """0 means the default of the cache."""
 
     may_coalesce: bool
-    """Whether the answer of a fill that runs already will do."""
+    """Whether the request may join a fill that is already in flight."""
 
 
 class PurgeLog:
@@ -37,10 +37,10 @@
         self.purge_times: OrderedDict[tuple[int, int], float] = OrderedDict()  # oldest first
         self.floor_ms = (
             -math.inf
-        )  # the newest purge that was dropped before it settled; it binds every object
+        )  # newest purge that was dropped before it settled; it applies to every object
 
     def record(self, event: Purged, now_ms: float, purge_settle_ms: float) -> None:
-        """Remember a purge, and drop those that have settled."""
+        """Record a purge, and drop those that have settled."""
         if not math.isfinite(event.age_ms):
             return
         key = (1, event.object_id) if event.object_id else (0, event.group)
@@ -56,7 +56,7 @@
                 self.floor_ms = max(self.floor_ms, dropped_ms)
 
     def last_purge_ms(self, object_id: int, group: int) -> float:
-        """Return when an object of a group was last purged, as far as that still matters."""
+        """Return when an object of a group was last purged, or -inf if all its purges have settled."""
         times = self.purge_times
         return max(self.floor_ms, times.get((1, object_id), -math.inf), times.get((0, group), -math.inf))
 
@@ -65,12 +65,12 @@
         service_class = state.service_class
         max_age_ms = 0.0
         if service_class.fresh_ms > 0 and (state.attempt_count or state.withholds_fill):
-            # No fill, or one that failed: a stale copy is better than none.
+            # No fill is requested, or one has failed: a stale copy is better than none.
             max_age_ms = service_class.fresh_ms + service_class.max_stale_ms
         purged_ms = self.last_purge_ms(state.request.object_id, state.request.group)
         if now_ms - purged_ms > settings.purge_settle_ms + PURGE_MARGIN_MS:
             return FreshnessBound(max_age_ms, settings.coalesces_fills)
-        # A copy, or a fill in flight, from before the purge must not answer.
+        # Neither a copy nor a fill in flight from before the purge may answer.
         since_ms = max(MIN_AGE_MS, now_ms - purged_ms - AGE_MARGIN_MS)
         return FreshnessBound(min(since_ms, max_age_ms or service_class.fresh_ms or since_ms), False)
 
--- a/lupintack/decisions/rendezvous.py
+++ b/lupintack/decisions/rendezvous.py
@@ -1,13 +1,14 @@
-"""Weighted rendezvous hashing: ranks the members of a tier for an object, as far as is asked. Pure.
+"""Weighted rendezvous hashing: ranks the members of a tier for an object, as far as requested. Pure.
 
 Each member has a score for each object, one hash of the two ids; the highest is first (Thaler and
 Ravishankar, "Using name-based mappings to increase hit rates", 1998; with weights: Schindelhauer and
-Schomaker, 2005). Every router ranks alike, and a member that comes or goes moves no object but its own.
+Schomaker, 2005). All routers compute the same ranking, and adding or removing a member moves only the objects
+of that member.
 
-A score's highest byte comes by simple tabulation hashing (Zobrist; Patrascu and Thorup, 2012): for each of
-TABLE_COUNT bytes of the member's own hash, a table that the object gives. That byte is computed for all
-members at once by a few calls into C code, and the rest of a score only for members that it leaves among the
-best. So a tier may have thousands of members, each of which costs some nanoseconds.
+The highest byte of a score is computed by simple tabulation hashing (Zobrist; Patrascu and Thorup, 2012) from
+TABLE_COUNT bytes of the member's own hash, each with a table derived from the object. A few calls into C code
+compute that byte for all members together; the rest of a score is computed only for the best candidates. So a
+tier may have thousands of members, each of which costs some nanoseconds.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 TABLE_COUNT = 4  # bytes of a member's own hash; two members that share all of them share the highest byte
 BYTE_VALUES = 256
 LOW_BITS = 56  # of a score, below its highest byte
-LOW_SHIFT = 64 - LOW_BITS  # leaves that many bits of a 64-bit hash
-MAX_RANKED = 64  # places of a ranking; a request is tried at a few members at most
-SPARE_CANDIDATES = 8  # over twice the places that are needed, as weights differ
-MAX_CACHED_OBJECTS = 2048  # hashing an object anew is a good part of a request's cost
+LOW_SHIFT = 64 - LOW_BITS  # reduces a 64-bit hash to LOW_BITS
+MAX_RANKED = 64  # default length of a ranking; a request is tried at a few members at most
+SPARE_CANDIDATES = 8  # in addition to twice the requested count, as weights differ
+MAX_CACHED_OBJECTS = 2048  # computing a ranking again is a large part of the cost of a request
 
 
 class Ranked(Protocol):
@@ -35,20 +36,20 @@
 
     id: int
     share: float
-    """Share of the objects, against the other members' shares; above 0."""
+    """Share of the objects, relative to the other members' shares; above 0."""
 
 
 Item = TypeVar("Item", bound=Ranked)
 
 
 def pair_hash(first: int, second: int) -> int:
-    """Return 64 bits of two numbers together, the same in every process."""
+    """Return a 64-bit hash of two numbers that is the same in every process."""
     raw = first.to_bytes(8, "big") + second.to_bytes(8, "big")
     return int.from_bytes(blake2b(raw, digest_size=8).digest(), "big")
 
 
 def tables(object_id: int) -> bytes:
-    """Return the object's tables, one after the other."""
+    """Return the concatenated tables of an object."""
     return shake_128(object_id.to_bytes(8, "big")).digest(TABLE_COUNT * BYTE_VALUES)
 
 
@@ -74,16 +75,16 @@
 
 
 class Candidates(Generic[Item]):
-    """Cached for an object: the members whose highest byte is at least `min_byte`, with their log scores."""
+    """Cached for an object: members whose highest score byte is at least `min_byte`, and log scores."""
 
     __slots__ = ("log_scores", "members", "min_byte", "ranking")
 
     def __init__(self, min_byte: int, members: list[Item], log_scores: Iterable[float]) -> None:
-        """`log_scores`: logarithms of the scores as shares of one, in the order of the members."""
+        """`log_scores`: logarithms of the scores scaled to (0, 1], in the order of the members."""
         self.min_byte = min_byte
         self.members = members
-        self.log_scores = array("d", log_scores)  # a quarter of the memory that a list of numbers needs
-        self.ranking: list[Item] = []  # by the present shares, as far as it is certain; empty: not known
+        self.log_scores = array("d", log_scores)  # a quarter of the memory of a list of floats
+        self.ranking: list[Item] = []  # certain prefix by the current shares; empty: not computed
 
 
 class RendezvousRanking(Generic[Item]):
@@ -95,8 +96,8 @@
         """Start with no members."""
         self.members: list[Item] = []
         self.ids: list[int] = []
-        self.member_columns = [bytearray() for _ in range(TABLE_COUNT)]  # by table, in the members' order
-        self.max_share = 0.0  # at least the greatest share
+        self.member_columns = [bytearray() for _ in range(TABLE_COUNT)]  # by table, in member order
+        self.max_share = 0.0  # upper bound of all shares
         self.cached_candidates: dict[int, Candidates[Item]] = {}
 
     def add(self, member: Item) -> None:
@@ -118,7 +119,7 @@
         self.cached_candidates.clear()
 
     def update(self, member: Item, belongs: bool, share_changed: bool) -> None:
-        """Add or remove a member, or note that its share has changed."""
+        """Add or remove a member, or apply a change of its share."""
         position = bisect_left(self.ids, member.id)
         present = position < len(self.ids) and self.members[position] is member
         if position < len(self.ids) and self.ids[position] == member.id and not present:
@@ -131,7 +132,7 @@
             self.weights_changed()
 
     def weights_changed(self) -> None:
-        """Note that shares have changed; the hashes are kept."""
+        """Discard rankings after a change of shares; cached scores are kept."""
         self.max_share = max((member.share for member in self.members), default=0.0)
         for candidates in self.cached_candidates.values():
             candidates.ranking = []
@@ -142,7 +143,7 @@
         return ranking[0] if ranking else None
 
     def ranked(self, object_id: int, count: int = MAX_RANKED) -> list[Item]:
-        """Return members by their score for the object, best first: at least `count` of them, or all."""
+        """Return members by descending score for the object: at least `count` of them, or all."""
         count = min(count, len(self.members))
         cached = self.cached_candidates
         candidates = cached.get(object_id)
@@ -160,7 +161,7 @@
         return candidates.ranking
 
     def candidates(self, object_id: int, count: int) -> Candidates[Item]:
-        """Return the members with the highest first bytes: in the mean some more than `count`."""
+        """Return the members with the highest first bytes: on average more than `count`."""
         candidate_share = (2 * count + SPARE_CANDIDATES) / max(1, len(self.members))
         min_byte = max(0, int(BYTE_VALUES * (1.0 - candidate_share)))
         highest = self.highest_bytes(object_id)
@@ -184,11 +185,11 @@
         return combined.to_bytes(len(self.members), "little")
 
     def certain_ranking(self, candidates: Candidates[Item]) -> list[Item]:
-        """Return the candidates by the present shares, up to where another member could stand before them."""
+        """Return the candidates ranked by the current shares, up to where any other member could rank."""
         pairs = zip(candidates.log_scores, candidates.members, strict=True)
         ranked = sorted([(-log_score / member.share, member.id, member) for log_score, member in pairs])
         if not candidates.min_byte:
             return [member for _, _, member in ranked]
-        # All other scores are below this byte, and no share is greater.
+        # All other members score below this byte, and none has a larger share than max_share.
         bound = -math.log(candidates.min_byte / BYTE_VALUES) / self.max_share
         return [member for cost, _, member in ranked if cost < bound]
--- a/lupintack/decisions/request_state.py
+++ b/lupintack/decisions/request_state.py
@@ -18,7 +18,7 @@
     source: EndpointState | None
     sent_ms: float
     is_trial: bool
-    """It tests an ejected endpoint or source."""
+    """Whether it is a trial request of an ejected endpoint or source."""
 
     objective_at_ms: float
     uses_origin_fill: bool
@@ -36,10 +36,10 @@
     max_attempts: int
     is_write: bool = False
     is_first_request: bool = False
-    """No earlier request for this object and part is remembered."""
+    """Whether no earlier request for this object and part is in the history."""
 
     withholds_fill: bool = False
-    """The source may give a copy that it has, but no fill is requested."""
+    """Whether the source may only return a copy that it has, without a fill."""
 
     retention_priority: int = PRIORITY_FIRST_REQUEST
     open_attempts: dict[int, AttemptState] = field(default_factory=dict)
@@ -47,12 +47,12 @@
     tried_sources: list[int] = field(default_factory=list)
     attempt_count: int = 0
     first_attempt_ms: float = -math.inf
-    """When the first attempt was sent that may have had an effect."""
+    """Send time of the first attempt that may have had an effect."""
 
     first_attempt_endpoint: EndpointState | None = None
     errored_attempts: list[AttemptState] = field(default_factory=list)
     reason: str = ""
-    """Why it was not sent, or how its last attempt failed; for the log."""
+    """Why it was rejected, or how its last attempt failed; for the log."""
 
     def add_attempt(self, attempt: AttemptState) -> None:
         """Count an attempt that is sent."""
--- a/lupintack/decisions/retries.py
+++ b/lupintack/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Retries: the budget for them, which attempts may be repeated, and when an attempt is overdue. Pure."""
+"""Retries: their budget, which attempts may be repeated, and when an attempt is overdue. Pure."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     Settings,
 )
 
-MAX_ERRORS_PER_REQUEST = 2  # caches that answer with an error before the request itself counts as bad
+MAX_ERRORS_PER_REQUEST = 2  # errors from this many caches mean that the request itself is invalid
 MIN_OVERDUE_MS = 250.0
-RETRY_RESERVE_TRANSFERS = 0.8  # transfer times kept back of the objective for a second attempt
-RETRY_RESERVE_MS = 120.0  # kept back as well, for the fill
-RETRIES_EARNED_PER_REQUEST = 0.15  # retries must not multiply the load of a fault
+RETRY_RESERVE_TRANSFERS = 0.8  # transfer times of the objective that are reserved for a second attempt
+RETRY_RESERVE_MS = 120.0  # reserved in addition, for the fill
+RETRIES_EARNED_PER_REQUEST = 0.15  # bounds the extra load that retries cause during a fault
 MAX_SAVED_RETRIES = 15.0
 
 
 def overdue_after_ms(objective_ms: float, transfer_ms: float) -> float:
-    """Return the time after which an attempt is overdue, so that a second one can still be in time."""
+    """Return the time after which an attempt is overdue, in time for a second one to meet the objective."""
     reserve_ms = RETRY_RESERVE_TRANSFERS * transfer_ms
     return max(MIN_OVERDUE_MS, objective_ms - reserve_ms - RETRY_RESERVE_MS)
 
 
 def may_repeat(state: RequestState, endpoint: EndpointState, now_ms: float) -> bool:
-    """Return whether an attempt at an endpoint does no harm, given those that may have had an effect."""
+    """Return whether an attempt at an endpoint is safe, given earlier ones that may have had an effect."""
     service_class, first = state.service_class, state.first_attempt_endpoint
     if service_class.idempotency == Idempotency.IDEMPOTENT or first is None:
         return True
@@ -45,7 +45,7 @@
 
 
 def is_safe_to_retry_by_client(state: RequestState) -> bool:
-    """Return whether a client may send the request again without harm."""
+    """Return whether a client may safely send the request again."""
     service_class = state.service_class
     if service_class.idempotency == Idempotency.IDEMPOTENT or state.first_attempt_endpoint is None:
         return True
@@ -53,7 +53,7 @@
 
 
 def forget_attempt_without_effect(state: RequestState, attempt: AttemptState, outcome: Outcome) -> None:
-    """Note that the first attempt had no effect after all, where its outcome proves that."""
+    """Clear the record of the first attempt if its outcome proves that it had no effect."""
     if (
         outcome in OUTCOMES_WITHOUT_EFFECT
         and attempt.sent_ms == state.first_attempt_ms
@@ -63,7 +63,7 @@
 
 
 class RetryBudget:
-    """Retries that requests have earned: in a fault many routers' retries at once would prolong it."""
+    """Retries earned by requests; bounds the retries of the fleet, which would otherwise prolong a fault."""
 
     __slots__ = ("saved",)
 
@@ -72,7 +72,7 @@
         self.saved = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
-        """Add what a new request earns."""
+        """Add the share of a retry that a new request earns."""
         self.saved = min(MAX_SAVED_RETRIES, self.saved + RETRIES_EARNED_PER_REQUEST)
 
     def is_available(self) -> bool:
@@ -80,7 +80,7 @@
         return self.saved >= 1.0
 
     def spend(self, sent: bool) -> None:
-        """Take one retry off if it was sent."""
+        """Subtract one retry if it was sent."""
         self.saved -= sent
 
     def may_retry(
@@ -101,7 +101,7 @@
             return False
         if event.outcome == Outcome.TIMEOUT and now_ms + settings.answer_grace_ms >= deadline_ms:
             return False
-        # On a miss nobody has a copy, and fills are scarce.
+        # A miss means that no cached copy exists, and fills are limited.
         return event.outcome != Outcome.MISS or state.request.is_write
 
     def may_hedge(self, state: RequestState, now_ms: float) -> bool:
--- a/lupintack/decisions/router.py
+++ b/lupintack/decisions/router.py
@@ -1,8 +1,8 @@
 """The dispatcher of the decisions; its types, events and actions are in lupintack/interface.py.
 
-One Router is one instance: it takes settings and a seed, and turns (now, events) into actions. All that it
-knows comes from its own events. In the ordinary case rendezvous hashing of the object selects a cache of the
-router's own zone, and the parent that fills it among all parents. docs/design.md has the exceptions.
+A Router is created from settings and a seed, and turns (now, events) into actions; its state follows from its
+own events alone. Normally rendezvous hashing of the object selects a cache of the router's own zone, and the
+parent that fills it among all parents. docs/design.md describes the exceptions.
 """
 
 from __future__ import annotations
@@ -51,19 +51,19 @@
     TimerFired,
 )
 
-RESUBSCRIBE_MS = 1000.0  # after a failed call for the endpoint list
-MIN_USABLE_PARENTS = 2  # with fewer, a slow fill goes elsewhere at once
-MAX_LOAD_TO_HEDGE_SAME_CACHE = 0.6  # a cache that reports more is late, it has not lost an answer
+RESUBSCRIBE_MS = 1000.0  # after a failed subscription to the endpoint list
+MIN_USABLE_PARENTS = 2  # with fewer, a slow fill is moved to another source when it is overdue
+MAX_LOAD_TO_HEDGE_SAME_CACHE = 0.6  # above it, an overdue answer is assumed to be slow rather than lost
 
 _SUBSCRIBE_TOKEN = 0
-_ATTEMPT_BITS = 8  # of a timer's token; the rest is the request's id
+_ATTEMPT_BITS = 8  # low bits of a timer token; the high bits are the request id
 
 
 class Router:
     """The decisions of one router."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """`seed`: of all random draws; routers of a fleet have different ones."""
+        """`seed`: of the random generator; the routers of a fleet have different seeds."""
         self._settings = settings
         self.now_ms = 0.0
         self.actions: list[Action] = []
@@ -107,8 +107,8 @@
     def settings(self) -> Settings:
         """The settings in use.
 
-        Assigning others replaces quotas and limits that are read with each decision; those that rankings and
-        estimates are computed from need `apply_settings`.
+        Assigning others replaces quotas and limits that are read with each decision; settings that rankings
+        and estimates are computed from require `apply_settings`.
         """
         return self._settings
 
@@ -123,13 +123,13 @@
         self.attribution.settings = settings
 
     def apply_settings(self, settings: Settings) -> None:
-        """Replace the settings; a class that keeps its name and index keeps what was learned of it."""
+        """Replace the settings; a class that keeps its name and index keeps its learned state."""
         self.settings = settings
         self.transfer_times.apply_settings(settings.classes, settings.client_kb_per_s)
         self.endpoints.apply_settings(settings, self.now_ms, self.outliers.fill_count)
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> Sequence[Action]:
-        """Return the actions that answer the events of one moment; time never goes back."""
+        """Return the actions for events that occur at `now_ms`; a clock that goes back is ignored."""
         if math.isfinite(now_ms):
             self.now_ms = max(self.now_ms, now_ms)
         self.actions = []
@@ -149,26 +149,26 @@
     # Events
 
     def on_endpoint_list(self, event: MemberList) -> None:
-        """Apply the endpoint list or its changes; after a failed call for it, ask again later."""
+        """Apply the endpoint list or its changes; after a failed subscription, schedule another one."""
         if event.kind != ListKind.FAILED:
             self.endpoints.apply(event, self.now_ms, self.outliers.fill_count)
         elif self._settings.requires_subscription:
             self._emit(SetTimer(self.now_ms + RESUBSCRIBE_MS, _SUBSCRIBE_TOKEN))
 
     def on_purged(self, event: Purged) -> None:
-        """Remember a purge, so that no older copy answers until all caches have applied it."""
+        """Record a purge, so that no older copy is accepted until all caches have applied it."""
         self.purges.record(event, self.now_ms, self._settings.purge_settle_ms)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget the request and stop its attempts."""
+        """Remove the request and cancel its attempts."""
         self.finish_request(event.request)
 
     def on_attempt_started(self, event: AttemptStarted) -> None:
-        """Leave the answer to the attempt that streams it, and stop the other attempts."""
+        """Keep the attempt that streams the answer, and cancel the other attempts."""
         self.finish_request(event.request, event.attempt)
 
     def on_request(self, request: Request) -> None:
-        """Register a request, then serve the router's own copy, send an attempt or reject it."""
+        """Register a request, then serve the local copy, send an attempt or reject it."""
         state = self._register(request)
         if request.local_copy_age_ms >= 0.0 and self.purges.may_serve_local_copy(
             state, self._settings, self.now_ms
@@ -201,7 +201,7 @@
             self._hedge_slow_attempt(state, attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Record the outcome; finish the request, retry it, or give it up."""
+        """Record the outcome; finish, retry or reject the request."""
         attempt = self.attempts.pop((event.request, event.attempt), None)
         state = self.requests.get(event.request)
         if attempt is not None:
@@ -242,7 +242,7 @@
         return state
 
     def _listed_or_unknown(self, member_id: int) -> EndpointState:
-        """Return an endpoint; one that has left the list shares its zone and cell with no other."""
+        """Return an endpoint by id; an unlisted one gets a zone and a cell that match no other."""
         listed = self.endpoints.by_id.get(member_id)
         if listed is not None:
             return listed
@@ -250,7 +250,7 @@
         return self.endpoints.new_endpoint(unknown, self.now_ms, self.outliers.fill_count)
 
     def finish_request(self, request_id: int, winner: int = -1) -> None:
-        """Forget a request that needs no answer any more, and cancel its attempts but the winner."""
+        """Remove a request that needs no further answer, and cancel all its attempts except the winner."""
         state = self.requests.pop(request_id, None)
         if (
             state is None
@@ -263,7 +263,7 @@
                 self._emit(Cancel(request_id, number))
 
     def _reject(self, state: RequestState) -> None:
-        """Give the final answer of a request that is not served: safe to repeat, or without a promise."""
+        """Send the final answer of a request that is not served: `Reject` if a retry is safe, else `Fail`."""
         request_id = state.request.id
         is_safe = retries.is_safe_to_retry_by_client(state)
         self.finish_request(request_id)
@@ -276,7 +276,7 @@
     # Attempts
 
     def _send(self, state: RequestState, preferred: EndpointState | None = None) -> bool:
-        """Send an attempt if any endpoint may have it, to `preferred` if that may; return whether one was."""
+        """Send an attempt, to `preferred` if that endpoint may receive it; return whether one was sent."""
         now_ms = self.now_ms
         plan = self.planner.plan(state, now_ms, preferred)
         if plan is None:
@@ -300,7 +300,7 @@
         return True
 
     def _charge_slow_start(self, plan: AttemptPlan, state: RequestState) -> None:
-        """Take the attempt off the budgets of the endpoints that it may reach while they warm up."""
+        """Charge the attempt to the slow-start budgets of the endpoints that it may reach."""
         now_ms = self.now_ms
         for endpoint in (plan.endpoint, plan.source):
             if endpoint is not None and endpoint.slow_start.factor(now_ms) < 1.0:
@@ -321,7 +321,7 @@
         )
 
     def _hedge_slow_attempt(self, state: RequestState, attempt: AttemptState) -> None:
-        """Ask the same cache again: an answer may be lost, and where fills are coalesced that is cheap."""
+        """Send another attempt to the same cache: the answer may be lost, and a coalesced fill is cheap."""
         settings, now_ms = self._settings, self.now_ms
         usable_parents = sum(
             not self.outliers.is_ejected(parent, now_ms) for parent in self.endpoints.parents
@@ -334,7 +334,7 @@
             self.retry_budget.spend(self._send(state, attempt.endpoint))
 
     def _replace_lost_attempt(self, state: RequestState, attempt: AttemptState, number: int) -> None:
-        """Send a second attempt elsewhere, or cancel this one so that its end allows another."""
+        """Send a second attempt elsewhere, or cancel this one so that another may follow its end."""
         settings = self._settings
         if not self.outliers.is_ejected(attempt.endpoint, self.now_ms):
             self.selector.override_source(state, attempt, self.now_ms)
@@ -347,8 +347,8 @@
     def _retry_or_reject(
         self, state: RequestState, attempt: AttemptState | None, event: AttemptEnded
     ) -> None:
-        """Send a request again whose last attempt has ended, or give its final answer."""
-        # Retries of many routers at an origin that has just failed would stop it again.
+        """Retry a request whose last attempt has ended, or send its final answer."""
+        # Retries of many routers could overload an origin that has just failed.
         state.withholds_fill |= event.cache_status == CacheStatus.ORIGIN_FAILED
         state.reason = f"its last attempt ended as {event.outcome.name.lower()}"
         if self.retry_budget.may_retry(state, attempt, event, self._settings, self.now_ms):
--- a/lupintack/decisions/selection.py
+++ b/lupintack/decisions/selection.py
@@ -15,7 +15,7 @@
 from lupintack.interface import Idempotency, Settings
 
 SOURCE_OVERRIDE_MS = 5000.0
-MAX_SOURCE_OVERRIDES = 4096  # objects at once; the oldest goes first
+MAX_SOURCE_OVERRIDES = 4096  # the oldest override is dropped first
 
 
 class Selection(NamedTuple):
@@ -26,14 +26,14 @@
 
 
 class SourceOverride(NamedTuple):
-    """A parent that fills an object in place of the first of the ranking."""
+    """A parent that fills an object instead of the first parent of the ranking."""
 
     member_id: int
     until_ms: float
 
 
 class EndpointSelector:
-    """Selects the first usable endpoint of a ranking, and remembers overrides of fill sources."""
+    """Selects the first usable endpoint of a ranking, and stores overrides of fill sources."""
 
     __slots__ = (
         "_endpoints", "_outliers", "_random", "_transfer_times", "settings", "source_overrides",
@@ -47,7 +47,7 @@
         transfer_times: TransferTimeEstimator,
         random: RandomSource,
     ) -> None:
-        """Compose the parts that a selection needs; `random` draws the source of an override."""
+        """Store the components that a selection is made from; `random` selects the source of an override."""
         self.settings = settings
         self.source_overrides: OrderedDict[int, SourceOverride] = OrderedDict()
         self._endpoints = endpoints
@@ -58,7 +58,7 @@
     def has_budget(self, endpoint: EndpointState, need_ms: float, now_ms: float) -> bool:
         """Return whether an endpoint may be sent `need_ms` of transfer.
 
-        In slow start its budget is a hard bound: each attempt and each fill that may reach it counts.
+        In slow start the budget is a hard limit: each attempt and each fill that may reach it counts.
         """
         slow_start = endpoint.slow_start
         if slow_start.factor(now_ms) >= 1.0:
@@ -71,16 +71,16 @@
         )
 
     def may_receive(self, endpoint: EndpointState, state: RequestState, now_ms: float) -> bool:
-        """Return whether an endpoint is on the list and has budget for the request."""
+        """Return whether an endpoint is ready and has budget for the request."""
         need_ms = self._transfer_times.transfer_ms[state.request.class_index]
         return endpoint.is_ready and self.has_budget(endpoint, need_ms, now_ms)
 
     def select_cache(self, state: RequestState, now_ms: float) -> Selection:
-        """Return the first cache of the own location that may be sent the request."""
+        """Return the first cache of the router's location that may receive the request."""
         need_ms = self._transfer_times.transfer_ms[state.request.class_index]
         ranking = self._endpoints.cache_ranking
         first = ranking.first(state.request.object_id)
-        # Nearly always the first cache is in use and warm, and no other has to be looked at.
+        # Fast path: the first cache is almost always usable and at full capacity.
         if (
             first
             and not state.attempt_count
@@ -120,13 +120,13 @@
         candidates = [
             parent for parent in ranking.ranked(object_id) if self.has_budget(parent, need_ms, now_ms)
         ]
-        # Only a first request is likely to need a fill, and so to show how a parent does.
+        # Only a first request is likely to need a fill, and so to test the parent.
         may_try = state.is_first_request and state.service_class.idempotency == Idempotency.IDEMPOTENT
         parent, is_trial = self._first_usable(candidates, state.tried_sources, may_try, now_ms)
         return Selection(parent or self._endpoints.origin or next(iter(candidates), None), is_trial)
 
     def override_source(self, state: RequestState, attempt: AttemptState, now_ms: float) -> None:
-        """After a failed fill through a parent, send the object's fills to a random other one for a while."""
+        """After a failed fill, move the object's fills to another parent at random for a limited time."""
         origin = self._endpoints.origin
         others = [
             parent
@@ -145,7 +145,7 @@
             self.source_overrides.popitem(last=False)
 
     def _override(self, state: RequestState, now_ms: float) -> EndpointState | None:
-        """Return the parent that fills the object for now, unless this request has tried it."""
+        """Return the parent of the object's current override, unless this request has tried it."""
         override = self.source_overrides.get(state.request.object_id)
         if override is None or override.until_ms <= now_ms or override.member_id in state.tried_sources:
             return None
@@ -154,7 +154,7 @@
     def _first_usable(
         self, candidates: list[EndpointState], tried: list[int], may_try: bool, now_ms: float
     ) -> Selection:
-        """Return the first candidate in use or due for a trial; those tried before come last."""
+        """Return the first candidate that is not ejected or is due for a trial; tried ones come last."""
         for endpoint in candidates:
             if endpoint.id in tried:
                 continue
--- a/lupintack/decisions/slow_start.py
+++ b/lupintack/decisions/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: the budget of an endpoint that warms up after a start or a return. Pure.
+"""Slow start: the budget of an endpoint that warms up after a start or a recovery. Pure.
 
-The budget is a rate, milliseconds of transfer for each millisecond, that all routers share. A router's quota
-is the share of a lease (docs/budgets.md), or follows from the number of routers. Demand is counted whether it
-was met or not: the fleet divides the budget by it.
+The budget is a rate in milliseconds of transfer per millisecond that all routers share. A router's quota is
+the share of a lease (docs/budgets.md), or follows from the number of routers. Demand is counted whether it
+was met or not: the fleet divides the budget by demand.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-DEMAND_WINDOW_MS = 2000.0  # as long as two of the slowest fills
-WARMING_BUDGET_SHARE = 0.8  # share of the overload multiple for all routers together: sizes are estimates
-MAX_WARMING_MULTIPLE = 2.0  # of the present capacity; beyond it answers come late
+DEMAND_WINDOW_MS = 2000.0  # about two of the slowest fills
+WARMING_BUDGET_SHARE = 0.8  # of the overload multiple, for all routers together; sizes are estimates
+MAX_WARMING_MULTIPLE = 2.0  # of the current capacity; above it answers are late
 SLOW_START_MARGIN = 1.1  # factor of the stated slow-start time
 
 
 def quota(total_rate: float, routers: int, processes: int, lease: float) -> float:
     """Return this process's part of an endpoint's rate; the parts of all sum to at most `total_rate`.
 
-    `lease` is the share of a lease, 0 to 1; negative: there is none, and the numbers decide. Each of the two
-    processes of an upgrade has its own lease.
+    `lease` is the share of a lease, 0 to 1; if it is negative, there is no lease and the rate is divided by
+    the numbers of routers and processes. Each of the two processes of an upgrade has its own lease.
     """
     if lease >= 0.0:
         return total_rate * min(1.0, lease)
@@ -31,10 +31,10 @@
 class BorrowedCalls:
     """Calls on credit for a router whose quota is less than one call.
 
-    A quota below one call would never be spent while the endpoint warms up; saved up for a whole call by each
-    router, all would be spent in one moment. So a router may borrow one call in each budget window, if a draw
-    succeeds whose probability is its part of a call; the debt is paid before the next one. The draws follow
-    from the numbers of the router and the endpoint: routers with equal seeds must not draw alike.
+    A quota below one call would never be spent while the endpoint warms up; if each router saved up for a
+    whole call, all routers would send it simultaneously. So a router may borrow one call per budget window
+    with a probability equal to its fraction of a call, and must repay it before the next one. The random
+    numbers are derived from the router's index and the endpoint's id, because routers may have equal seeds.
     """
 
     __slots__ = ("draw", "draw_until_ms", "generator_state", "max_saved_ms")
@@ -42,30 +42,30 @@
     def __init__(self, generator_state: int) -> None:
         """`generator_state`: 64 bits that differ between routers and between endpoints."""
         self.generator_state = generator_state
-        self.max_saved_ms = 0.0  # most that the router may have saved up, ms of transfer
+        self.max_saved_ms = 0.0  # maximum of saved tokens, ms of transfer
         self.draw = 1.0
         self.draw_until_ms = -math.inf
 
     def may_borrow(self, saved_ms: float, need_ms: float, now_ms: float, window_ms: float) -> bool:
-        """Return whether a call of `need_ms` may be sent with `saved_ms`; a draw holds for a window."""
+        """Return whether a call of `need_ms` may be sent with `saved_ms`; a draw is valid for one window."""
         if self.max_saved_ms >= need_ms or saved_ms <= 0.0:
             return False
         if now_ms >= self.draw_until_ms:
             is_first = self.draw_until_ms == -math.inf
-            # The first window is shorter: routers notified of the endpoint together must not draw together.
+            # The first window has a random length, so that routers notified together do not draw together.
             self.draw_until_ms = now_ms + window_ms * (self.next_random() if is_first else 1.0)
             self.draw = self.next_random()
         return saved_ms >= self.draw * need_ms
 
     def next_random(self) -> float:
-        """Return the next number, above 0 and up to 1."""
+        """Return the next random number, above 0 and up to 1."""
         digest = blake2b(self.generator_state.to_bytes(8, "big"), digest_size=8).digest()
         self.generator_state = int.from_bytes(digest, "big")
         return (self.generator_state + 1) / 2.0**64
 
 
 class Demand:
-    """How much of a rate was recently wanted, whether it was granted or not."""
+    """Recent demand for a rate, whether it was granted or not."""
 
     __slots__ = ("level_ms", "updated_ms")
 
@@ -84,7 +84,7 @@
         self.updated_ms = now_ms
 
     def share(self, total_rate: float, now_ms: float) -> float:
-        """Return the wanted share of `total_rate`: 0 for no demand; it may pass 1."""
+        """Return the demand as a share of `total_rate`; it may exceed 1."""
         if total_rate <= 0.0 or not self.level_ms:
             return 0.0
         decay = math.exp((self.updated_ms - now_ms) / DEMAND_WINDOW_MS)
@@ -100,7 +100,7 @@
 
 
 class SlowStart:
-    """One endpoint's ramp, and what this router may send it meanwhile."""
+    """The ramp of one endpoint, and this router's part of its budget."""
 
     __slots__ = (
         "borrowed_calls", "capacity", "config", "demand", "lost_ms", "router_count", "started_ms",
@@ -115,24 +115,24 @@
         borrowed_calls: BorrowedCalls,
         now_ms: float,
     ) -> None:
-        """Start as an endpoint that has run for long; `capacity` is in concurrent calls."""
+        """Start at full capacity; `capacity` is in concurrent calls."""
         self.config = config
         self.capacity = capacity
         self.router_count = router_count
         self.borrowed_calls = borrowed_calls
         self.demand = Demand()
-        self.started_ms = 0.0  # 0: long ago
+        self.started_ms = 0.0  # 0 means long ago
         self.lost_ms = -math.inf  # when the process was last found to be down
         self.tokens_ms = 0.0
         self.tokens_updated_ms = now_ms
 
     def restart(self) -> None:
-        """Forget the saved tokens and the loss of the process that ran before."""
+        """Discard the saved tokens and the loss of the previous process."""
         self.tokens_ms = 0.0
         self.lost_ms = -math.inf
 
     def factor(self, now_ms: float) -> float:
-        """Return the share of full capacity, 0 to 1, that the ramp grants."""
+        """Return the current share of full capacity, 0 to 1."""
         if self.started_ms <= 0 and self.lost_ms == -math.inf:
             return 1.0
         started_ms = max(self.started_ms if self.started_ms > 0 else -math.inf, self.lost_ms)
@@ -146,17 +146,17 @@
         return min(self.config.overload_multiple * WARMING_BUDGET_SHARE, MAX_WARMING_MULTIPLE)
 
     def total_rate(self, now_ms: float) -> float:
-        """Return what all routers together may send: ms of transfer for each ms."""
+        """Return the budget of all routers together: ms of transfer per ms."""
         return self.factor(now_ms) * self.capacity * self._multiple()
 
     def refill(self, now_ms: float, window_ms: float, process_count: int = 1, lease: float = -1.0) -> float:
         """Add tokens for the time since the last call, and return them: ms of transfer.
 
-        The sum over all routers is bounded in each window of `window_ms`, also while routers differ about the
-        start: one that takes the endpoint to be less warm takes no more.
+        The sum over all routers is bounded in each window of `window_ms`, even while routers have different
+        start times for the endpoint: a router with a later start time gets no more.
         """
         rate = quota(self.total_rate(now_ms), self.router_count, process_count, lease)
-        # A full bucket and its refill meet in the worst window, so each gets half of what it may hold.
+        # In the worst window a full bucket and its refill add up, so each gets half of the window's budget.
         overshoot = min(self.config.overload_multiple * WARMING_BUDGET_SHARE / self._multiple(), 2.0)
         max_saved_ms = self.borrowed_calls.max_saved_ms = rate * overshoot * window_ms / 2
         elapsed_ms = max(0.0, now_ms - self.tokens_updated_ms)
--- a/lupintack/decisions/transfer_times.py
+++ b/lupintack/decisions/transfer_times.py
@@ -1,4 +1,4 @@
-"""Estimates of transfer times: from the size that a request states, else from the mean of its class. Pure."""
+"""Estimates of transfer times: by the size of the request if known, else the mean of its class. Pure."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferTimeConfig:
-    """How the means start and how fast they follow."""
+    """Initial values of the means, and how fast they adapt."""
 
     initial_objective_share: float
     """First mean of a class, as a share of its latency objective."""
 
     smoothing: float
-    """Least weight of the newest sample, 0 to 1."""
+    """Minimum weight of the newest sample, 0 to 1."""
 
 
 TRANSFER_TIME_CONFIG = TransferTimeConfig(initial_objective_share=1.0, smoothing=0.02)
 
 
 class TransferTimeEstimator:
-    """Mean times of each class in milliseconds: of whole answers, and of those that were transfer alone.
+    """Mean times of each class in milliseconds: of all answers, and of those without a fill.
 
-    A stated size leads to a request's own time and also counts towards the means of its class.
+    A known size determines the time of the request itself and also counts towards the means of its class.
     """
 
     __slots__ = (
@@ -36,7 +36,7 @@
     def __init__(
         self, config: TransferTimeConfig, classes: Sequence[ServiceClass], client_kb_per_s: float
     ) -> None:
-        """Start with the means that the config derives from each class."""
+        """Start with means derived from the latency objective of each class."""
         self.config = config
         self.client_kb_per_s = client_kb_per_s
         self.answer_ms: list[float] = []
@@ -51,7 +51,7 @@
         """Replace the classes; a class that keeps its name and index keeps its means."""
         self.client_kb_per_s = client_kb_per_s
         for index, service_class in enumerate(classes):
-            # An assignment to a slice past the end appends.
+            # Assigning to a slice past the end appends.
             index_slice = slice(index, index + 1)
             if index >= len(self.class_names) or self.class_names[index] != service_class.name:
                 initial_ms = service_class.latency_objective_ms * self.config.initial_objective_share
@@ -63,9 +63,9 @@
             self.deadline_ms[index_slice] = [service_class.deadline_ms]
 
     def estimate_ms(self, class_index: int, size_kb: float) -> float:
-        """Return the transfer time of a new request; a size of 0 is not stated.
+        """Return the transfer time of a new request; a size of 0 means unknown.
 
-        An absurd size affects its own request alone: in the means it counts as the class's deadline at most.
+        An implausible size affects only its own request: in the means it counts at most as the deadline.
         """
         if not size_kb or self.client_kb_per_s <= 0:
             return self.answer_ms[class_index]
@@ -74,15 +74,15 @@
         return stated_ms
 
     def record(self, class_index: int, elapsed_ms: float, transfer_only: bool) -> None:
-        """Add one answer's time to the means; `transfer_only`: no fill is part of it.
+        """Add the time of one answer to the means; `transfer_only` means that it includes no fill.
 
-        A fill's time in the budget of an endpoint in slow start would leave half of that budget unused.
+        Charging fill times to the budget of an endpoint in slow start would leave half of that budget unused.
         """
         self._add(self.answer_ms, self.answer_samples, class_index, elapsed_ms)
         if transfer_only:
             self._add(self.transfer_ms, self.transfer_samples, class_index, elapsed_ms)
         if not self.transfer_samples[class_index]:
-            # A class without hits, as writes are: the time of whole answers is the bound.
+            # A class without hits, such as writes: the mean of all answers is the upper bound.
             self.transfer_ms[class_index] = min(self.transfer_ms[class_index], self.answer_ms[class_index])
 
     def _add(self, means: list[float], samples: list[int], class_index: int, elapsed_ms: float) -> None:
--- a/lupintack/interface.py
+++ b/lupintack/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decisions: settings, the events that they receive and the actions that they return.
+"""The interface of the decisions: settings, events that they receive and actions that they return.
 
-No decisions are made here. Times are milliseconds on the router's own clock, sizes kilobytes. A member
-(cache, parent or origin) is identified by an integer without further meaning; 0 is no member.
+Times are milliseconds on the router's own clock, sizes are kilobytes. A member (cache, parent or origin) is
+identified by an opaque integer; 0 means no member.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 OUTCOMES_WITHOUT_EFFECT = frozenset(
     {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.DISCARDED, Outcome.MISS}
 )
-"""Outcomes that prove that the attempt had no effect."""
+"""Outcomes that prove that an attempt had no effect."""
 
 
 class CacheStatus(IntEnum):
-    """How a cache obtained its answer, as far as it reports it; see `Settings.reports_fill_source`."""
+    """How a cache obtained its answer, if it reports that; see `Settings.reports_fill_source`."""
 
     UNKNOWN = 0
     HIT = 1
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of one router. The defaults are those of a deployment that allows nothing."""
+    """Settings of one router. The defaults are those of a deployment without optional features."""
 
     classes: tuple[ServiceClass, ...]
     router_index: int = 0
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One member of the list. A `started_ms` of 0 means long ago."""
+    """One member of the member list. A `started_ms` of 0 means long ago."""
 
     id: int
     zone: int = 0
@@ -170,10 +170,10 @@
 class Request:
     """A client's request; it gets exactly one final answer, by its deadline.
 
-    local_copy_age_ms: of the copy in the local cache, negative without one; local_link_wait_ms: until the
-    local cache's link is free.
+    local_copy_age_ms: age of the copy in the local cache, negative without one; local_link_wait_ms: wait
+    until the local cache's link is free.
     first_attempt_ms, first_attempt_member: the first attempt that may have run for an earlier request with
-    this idempotency key; 0: none.
+    this idempotency key; 0 means none.
     """
 
     id: int
@@ -199,7 +199,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptStarted:
-    """A streamed answer has begun: this attempt is the one that is passed on to the client."""
+    """A streamed answer has begun; this attempt is the one that is forwarded to the client."""
 
     request: int
     attempt: int
@@ -231,7 +231,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that `SetTimer` had set."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
@@ -280,9 +280,9 @@
 class Fetch:
     """Send an attempt to a member, with the source of a fill. A `max_age_ms` of 0 means the default.
 
-    coalesce: wait for a fill in flight; revalidate: serve an ageing copy and fetch it anew behind it;
-    only_if_cached: the source may not fetch what it lacks. An attempt has no time limit of its own: its
-    member would work on past that, and without hedging no other attempt may start before its end.
+    coalesce: wait for a fill in flight; revalidate: serve a stale copy and refresh it in the background;
+    only_if_cached: the source may not fill a miss. An attempt has no timeout of its own: its member would
+    continue to work after it, and without hedging no other attempt may start before its end.
     """
 
     request: int
@@ -305,7 +305,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected without effect, so that a retry is harmless."""
+    """Final answer: rejected without effect, so that a retry is safe."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -349,7 +349,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A log line, on a member where one is given."""
+    """A log line, about a member if one is given."""
 
     text: str
     member: int = 0
