--- a/tests/decision_parts.py
+++ b/tests/decision_parts.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the decisions' parts alone: endpoints, requests and attempts without a router."""
+"""Builders for unit tests of the decisions: endpoints, requests and attempts without a router."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FixedRandom:
-    """Draws the same number each time, and the first of a sequence: with 0.5 jitter changes nothing."""
+    """Returns the same number each time, and the first item of a sequence; with 0.5, jitter has no effect."""
 
     def __init__(self, draw: float = 0.5) -> None:
         self.draw = draw
@@ -27,21 +27,21 @@
 
 
 def endpoint_table(now_ms: float = 0.0, **changes: Any) -> EndpointTable:
-    """The fleet of `helpers.full_list` as a table."""
+    """An endpoint table with the members of `helpers.full_list`."""
     table = EndpointTable(h.settings(**changes))
     table.apply(h.full_list(), now_ms, 0.0)
     return table
 
 
 def detector(table: EndpointTable, draw: float = 0.5) -> tuple[OutlierDetector, list[i.Action]]:
-    """A detector over a table, and the actions that it emits."""
+    """An outlier detector for a table, and the list of actions that it emits."""
     actions: list[i.Action] = []
     return OutlierDetector(table.settings, table, Jitter(FixedRandom(draw)), actions.append), actions
 
 
 def request_state(cls: int = h.SAFE, object_id: int = 5, **changes: Any) -> RequestState:
-    """A new request of a class."""
-    request = h.ask(1, object_id, cls, **changes)
+    """The state of a new request of a service class."""
+    request = h.request(1, object_id, cls, **changes)
     service_class = h.classes()[cls]
     return RequestState(request, service_class, 300.0, 6, request.is_write or service_class.is_write)
 
@@ -49,7 +49,7 @@
 def attempt_state(
     endpoint: EndpointState, source: EndpointState | None = None, sent_ms: float = 0.0, **changes: Any
 ) -> AttemptState:
-    """An attempt in flight; not a trial, with an objective 500 ms after it was sent."""
+    """An attempt in flight, not a trial request, with an objective of 500 ms."""
     values: dict[str, Any] = {
         "is_trial": False,
         "objective_at_ms": sent_ms + 500.0,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests of the module alone."""
+"""Builders of a small deployment, of events and of routers for tests of the decisions."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 CACHES = (11, 12, 13, 14)
 PARENTS = (21, 22, 23)
 ORIGIN = 31
-SAFE, PAGE, KEYED, UNSAFE = range(4)
+SAFE, EXPIRING, KEYED, UNSAFE = range(4)
 
 
 def classes() -> tuple[i.ServiceClass, ...]:
-    """A class of each kind of effect; the second has a fresh time."""
+    """One service class for each kind of idempotency; the second has a freshness lifetime."""
     base: dict[str, Any] = {
         "latency_objective_ms": 500.0,
         "latency_objective_stretch": 2.0,
@@ -38,7 +38,7 @@
 
 
 def settings(**changes: Any) -> i.Settings:
-    """Settings that allow much, with changes."""
+    """Settings with most features enabled, and with the given changes."""
     values: dict[str, Any] = {
         "classes": classes(),
         "zone": 0,
@@ -69,55 +69,55 @@
     return i.Settings(**(values | changes))
 
 
-def member(id_: int, state: int = 1, started: float = 0.0, size: float = 10.0) -> i.Member:
-    """A line of the list, by the number's range: caches of zone 0, parents of zone 2, the origin."""
+def member(id_: int, state: int = 1, started_ms: float = 0.0, capacity: float = 10.0) -> i.Member:
+    """An entry of the member list: by its id a cache of zone 0, a parent of zone 2 or the origin."""
     kind = 0 if id_ in CACHES else 1 if id_ in PARENTS else 2
-    return i.Member(id_, 2 if kind else 0, kind, id_ % 2, i.MemberState(state), size, started)
+    return i.Member(id_, 2 if kind else 0, kind, id_ % 2, i.MemberState(state), capacity, started_ms)
 
 
 def full_list(**states: Any) -> i.MemberList:
-    """The whole fleet, ready."""
+    """A full list with all members ready."""
     return i.MemberList(i.ListKind.FULL, tuple(member(m) for m in (*CACHES, *PARENTS, ORIGIN)))
 
 
 def delta(*members: i.Member) -> i.MemberList:
-    """Changes of the list."""
+    """A list event with changes."""
     return i.MemberList(i.ListKind.DELTA, members)
 
 
 def router(now: float = 0.0, **changes: Any) -> Router:
-    """A router that knows its fleet."""
-    made = Router(settings(**changes), 7)
-    made.handle(now, [full_list()])
-    return made
+    """A router that has received the full list."""
+    new_router = Router(settings(**changes), 7)
+    new_router.handle(now, [full_list()])
+    return new_router
 
 
-def ask(id_: int, object_id: int = 5, cls: int = SAFE, now: float = 0.0, **changes: Any) -> i.Request:
-    """A request of about 300 ms of sending time."""
+def request(id_: int, object_id: int = 5, cls: int = SAFE, now: float = 0.0, **changes: Any) -> i.Request:
+    """A request with a transfer time of about 300 ms."""
     values: dict[str, Any] = {"deadline_ms": now + 5000.0, "size_kb": 1500.0, "is_write": cls == UNSAFE}
     return i.Request(id_, cls, object_id, **(values | changes))
 
 
-def ended(fetch: i.Fetch, outcome: i.Outcome, attempt: int = 0, **changes: Any) -> i.AttemptEnded:
-    """How an attempt ended."""
+def attempt_ended(fetch: i.Fetch, outcome: i.Outcome, attempt: int = 0, **changes: Any) -> i.AttemptEnded:
+    """The event that ends an attempt."""
     return i.AttemptEnded(fetch.request, attempt, fetch.member, outcome, **({"elapsed_ms": 100.0} | changes))
 
 
 def fetches(actions: Iterable[i.Action]) -> list[i.Fetch]:
-    """The attempts among the actions."""
-    return [a for a in actions if isinstance(a, i.Fetch)]
+    """Return the `Fetch` actions."""
+    return [action for action in actions if isinstance(action, i.Fetch)]
 
 
-def finals(actions: Iterable[i.Action]) -> list[i.Reject | i.Fail]:
-    """The final answers among the actions."""
-    return [a for a in actions if isinstance(a, (i.Reject, i.Fail))]
+def final_answers(actions: Iterable[i.Action]) -> list[i.Reject | i.Fail]:
+    """Return the rejections and failures among the actions."""
+    return [action for action in actions if isinstance(action, (i.Reject, i.Fail))]
 
 
-def score_top(object_id: int) -> int:
-    """The cache on top of an object's board."""
-    return max(CACHES, key=lambda m: score(object_id, m))
+def first_cache(object_id: int) -> int:
+    """Return the first cache of an object's ranking."""
+    return max(CACHES, key=lambda cache: score(object_id, cache))
 
 
-def is_ejected(made: Router, endpoint: EndpointState) -> bool:
-    """Whether a router has ejected an endpoint, at the router's present time."""
-    return made.outliers.is_ejected(endpoint, made.now_ms)
+def is_ejected(router: Router, endpoint: EndpointState) -> bool:
+    """Return whether a router has ejected an endpoint, at the router's current time."""
+    return router.outliers.is_ejected(endpoint, router.now_ms)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -51,10 +51,12 @@
     now = 1000.0
     for n in range(1, rounds + 1):
         now += 100.0
-        actions = made.handle(now, [h.ask(n, object_id=n, now=now)])
+        actions = made.handle(now, [h.request(n, object_id=n, now=now)])
         fetch = h.fetches(actions)[0]
         if n % 2:
-            made.handle(now, [h.ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)])
+            made.handle(
+                now, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)]
+            )
             continue
         timer = next(a for a in actions if isinstance(a, i.SetTimer))
         now = timer.at_ms
@@ -63,7 +65,7 @@
         made.handle(
             now,
             [
-                h.ended(
+                h.attempt_ended(
                     fetch,
                     i.Outcome.OK,
                     elapsed_ms=900.0,
@@ -94,9 +96,9 @@
     made.fill_limits.late.allowed_share = 0.5
     sent = []
     for n in range(1, 101):
-        actions = made.handle(1000.0 + n, [h.ask(n, object_id=n, now=1000.0 + n)])
+        actions = made.handle(1000.0 + n, [h.request(n, object_id=n, now=1000.0 + n)])
         sent += h.fetches(actions)
-        made.handle(1000.0 + n, [h.ended(f, i.Outcome.MISS) for f in h.fetches(actions)])
+        made.handle(1000.0 + n, [h.attempt_ended(f, i.Outcome.MISS) for f in h.fetches(actions)])
     assert all(f.source != h.ORIGIN for f in sent if f.only_if_cached)
     assert 30 < sum(f.source == h.ORIGIN for f in sent) < 70
 
@@ -105,17 +107,17 @@
     """A copy past its fresh time earns less: it is no answer to a request whose fill may be asked for."""
     made = h.router()
     made.fill_limits.late.allowed_share = 0.5
-    fresh = made.settings.classes[h.PAGE].fresh_ms
+    fresh = made.settings.classes[h.EXPIRING].fresh_ms
     sent = []
     own = 0
     for n in range(1, 201):
         now = n * 100.0
         actions = made.handle(
-            now, [h.ask(n, n, h.PAGE, now, local_copy_age_ms=fresh + 500.0 if n % 2 else -1.0)]
+            now, [h.request(n, n, h.EXPIRING, now, local_copy_age_ms=fresh + 500.0 if n % 2 else -1.0)]
         )
         own += any(isinstance(a, i.ServeLocalCopy) for a in actions)
         sent += h.fetches(actions)
-        made.handle(now, [h.ended(f, i.Outcome.OK, is_final=True) for f in h.fetches(actions)])
+        made.handle(now, [h.attempt_ended(f, i.Outcome.OK, is_final=True) for f in h.fetches(actions)])
         made.fill_limits.late.allowed_share = 0.5
     held = [f for f in sent if f.only_if_cached]
     assert 30 < own < 70 and 30 < len(held) < 70
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -51,7 +51,7 @@
     cache.weight = 1.2
     table.apply(h.delta(h.member(11)), 500.0, 0.0)
     assert (cache.health.ejections, cache.weight) == (2, 1.2), "no restart"
-    table.apply(h.delta(h.member(11, started=400.0)), 500.0, 0.0)
+    table.apply(h.delta(h.member(11, started_ms=400.0)), 500.0, 0.0)
     assert table.by_id[11] is cache and cache.slow_start.started_ms == 400.0
     assert (cache.health.ejections, cache.health.consecutive_failures, cache.health.failures) == (0, 0, 0.0)
     assert (cache.slow_start.tokens_ms, cache.slow_start.lost_ms) == (0.0, -math.inf)
@@ -60,7 +60,7 @@
 
 def test_a_start_in_the_future_counts_as_now() -> None:
     table = parts.endpoint_table()
-    table.apply(h.delta(h.member(11, started=9e9)), 500.0, 0.0)
+    table.apply(h.delta(h.member(11, started_ms=9e9)), 500.0, 0.0)
     assert table.by_id[11].slow_start.started_ms == 500.0
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,12 +26,12 @@
     return tuple(1000 + zone * 100 + n for n in range(4))
 
 
-def member(id_: int, state: int = 1, started: float = 0.0, size: float = 10.0) -> i.Member:
+def member(id_: int, state: int = 1, started_ms: float = 0.0, capacity: float = 10.0) -> i.Member:
     """Caches from 1,000 on by location, parents from 21 on, as in the helpers, and the origin."""
     if id_ < 1000:
         parent = id_ != h.ORIGIN
-        return i.Member(id_, 2, 1 if parent else 2, 0, i.MemberState(state), size, started)
-    return i.Member(id_, (id_ - 1000) // 100 % ZONES, 0, 0, i.MemberState(state), size, started)
+        return i.Member(id_, 2, 1 if parent else 2, 0, i.MemberState(state), capacity, started_ms)
+    return i.Member(id_, (id_ - 1000) // 100 % ZONES, 0, 0, i.MemberState(state), capacity, started_ms)
 
 
 class Fleet:
@@ -71,7 +71,9 @@
                 outcome, note = self.fates.get(action.member, self.fates.get(action.source, good))
                 took = ANSWER_MS if outcome is i.Outcome.OK else 5.0
                 final = outcome is i.Outcome.OK
-                ended = h.ended(action, outcome, attempt, elapsed_ms=took, is_final=final, cache_status=note)
+                ended = h.attempt_ended(
+                    action, outcome, attempt, elapsed_ms=took, is_final=final, cache_status=note
+                )
                 self.later(self.now + took, n, ended)
 
     def later(self, at: float, n: int, event: i.Event) -> None:
@@ -89,7 +91,7 @@
                 if (self.now // 10 + n) % 8 == 0:
                     self.number += 1
                     key = self.number % objects + 1 if objects else self.number
-                    self.handle(n, h.ask(self.number, key, cls, self.now, size_kb=1000.0))
+                    self.handle(n, h.request(self.number, key, cls, self.now, size_kb=1000.0))
 
     def to(self, id_: int) -> list[float]:
         """When a member was sent to, or named as a source."""
@@ -114,7 +116,7 @@
     fleet = Fleet(count)
     fleet.run(2000.0)
     born = fleet.now
-    fleet.tell(h.delta(member(24, started=born), *(member(p, state=0) for p in h.PARENTS[:2])))
+    fleet.tell(h.delta(member(24, started_ms=born), *(member(p, state=0) for p in h.PARENTS[:2])))
     fleet.run(born + 12_000.0)
     known = fleet.routers[0].settings
 
@@ -139,7 +141,7 @@
 def test_more_routers_share_a_cold_parent_as_it_warms() -> None:
     fleet = Fleet()
     fleet.run(1_000.0)
-    fleet.tell(h.delta(member(24, started=fleet.now)))
+    fleet.tell(h.delta(member(24, started_ms=fleet.now)))
     fleet.run(10_000.0)
 
     def using(since: float) -> int:
@@ -152,17 +154,18 @@
 def test_a_fills_time_is_not_taken_off_a_cold_members_budget() -> None:
     made = h.router(reports_fill_source="all")
     for n in range(200):
-        fetch = h.fetches(made.handle(n * 50.0, [h.ask(n, n + 1, now=n * 50.0, size_kb=0.0)]))[0]
+        fetch = h.fetches(made.handle(n * 50.0, [h.request(n, n + 1, now=n * 50.0, size_kb=0.0)]))[0]
         took, note = ((100.0, i.CacheStatus.HIT), (900.0, i.CacheStatus.FILLED))[n % 2]
         made.handle(
-            n * 50.0, [h.ended(fetch, i.Outcome.OK, elapsed_ms=took, is_final=True, cache_status=note)]
+            n * 50.0,
+            [h.attempt_ended(fetch, i.Outcome.OK, elapsed_ms=took, is_final=True, cache_status=note)],
         )
-    made.handle(10_000.0, [h.delta(h.member(h.PARENTS[0], started=4_000.0))])
+    made.handle(10_000.0, [h.delta(h.member(h.PARENTS[0], started_ms=4_000.0))])
     cold = made.endpoints.by_id[h.PARENTS[0]]
     for n in range(300, 400):
         before = cold.slow_start.refill(10_000.0 + n, made.settings.overload_window_ms)
-        fetch = h.fetches(made.handle(10_000.0 + n, [h.ask(n, n, now=10_000.0 + n, size_kb=0.0)]))[0]
-        made.handle(10_000.0 + n, [h.ended(fetch, i.Outcome.OK, is_final=True, elapsed_ms=0.0)])
+        fetch = h.fetches(made.handle(10_000.0 + n, [h.request(n, n, now=10_000.0 + n, size_kb=0.0)]))[0]
+        made.handle(10_000.0 + n, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, elapsed_ms=0.0)])
         if fetch.source == cold.id:
             assert before - cold.slow_start.tokens_ms == pytest.approx(100.0, abs=15.0)
             return
@@ -173,10 +176,11 @@
     """Acks run at the origin and are told as filled by it: there is never a hit to learn from."""
     made = h.router(reports_fill_source="all")
     for n in range(20):
-        fetch = h.fetches(made.handle(n * 50.0, [h.ask(n, n + 1, h.UNSAFE, n * 50.0, size_kb=0.0)]))[0]
+        fetch = h.fetches(made.handle(n * 50.0, [h.request(n, n + 1, h.UNSAFE, n * 50.0, size_kb=0.0)]))[0]
         note = i.CacheStatus.FILLED_FROM_ORIGIN
         made.handle(
-            n * 50.0, [h.ended(fetch, i.Outcome.OK, elapsed_ms=60.0, is_final=True, cache_status=note)]
+            n * 50.0,
+            [h.attempt_ended(fetch, i.Outcome.OK, elapsed_ms=60.0, is_final=True, cache_status=note)],
         )
     assert made.transfer_times.transfer_ms[h.UNSAFE] == pytest.approx(60.0)
 
@@ -202,7 +206,7 @@
             fleet.tell(
                 h.delta(
                     *(member(c, state=0) for c in old[part]),
-                    *(member(c, started=fleet.now) for c in new[part]),
+                    *(member(c, started_ms=fleet.now) for c in new[part]),
                 )
             )
             fleet.run(fleet.now + 7000.0 / steps)
@@ -248,7 +252,7 @@
     assert 50.0 < min(waits) and max(waits) <= fleet.routers[0].settings.max_retry_after_ms
     tight = h.router(max_retry_after_ms=20.0)
     tight.handle(1.0, [h.delta(*(h.member(m, state=0) for m in (*h.CACHES, *h.PARENTS, h.ORIGIN)))])
-    told = h.finals(tight.handle(2.0, [h.ask(1, now=2.0)]))[0]
+    told = h.final_answers(tight.handle(2.0, [h.request(1, now=2.0)]))[0]
     assert isinstance(told, i.Reject) and told.retry_after_ms == 20.0
     again = [
         DiscoveryClient(None, Names((), (), (), ()), MemberTable(0.0), seed).reconnect_delay_s(
@@ -284,7 +288,7 @@
     fleet.run(1_000.0)
     first = {id(s): len(s) for s in fleet.sent}
     fleet.fates |= {c: (outcome, i.CacheStatus.UNKNOWN) for c in caches(0)}
-    fleet.tell(h.delta(*(member(c, state=0) for c in caches(1)[:2]), member(1500, started=fleet.now)))
+    fleet.tell(h.delta(*(member(c, state=0) for c in caches(1)[:2]), member(1500, started_ms=fleet.now)))
     fleet.run(4_000.0, cls=h.UNSAFE)
     for sent in fleet.sent:
         times: dict[int, list[i.Fetch]] = {}
@@ -309,7 +313,7 @@
     gone = fleet.now
     fleet.run(3_000.0)
     assert not [at for at in fleet.to(parent) if at > gone]
-    fleet.tell(h.delta(member(parent, started=fleet.now)))
+    fleet.tell(h.delta(member(parent, started_ms=fleet.now)))
     back = fleet.now
     fleet.run(back + 15_000.0)
     assert [at for at in fleet.to(parent) if at > back]
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -142,14 +142,16 @@
         (999, 600.0, group == "all"),
     ):
         made = h.router(classes=(cls,))
-        request = h.ask(1, cls=0, now=1000.0, size_kb=0.0, first_attempt_ms=at, first_attempt_member=member)
+        request = h.request(
+            1, cls=0, now=1000.0, size_kb=0.0, first_attempt_ms=at, first_attempt_member=member
+        )
         actions = made.handle(1000.0, [request])
         sent = h.fetches(actions)
         assert bool(sent) == allowed, (group, member, at)
         for one in sent:
             assert group != "cell" or one.member % 2 == member % 2
         if not allowed:
-            assert isinstance(h.finals(actions)[0], i.Reject if group == "all" else i.Fail)
+            assert isinstance(h.final_answers(actions)[0], i.Reject if group == "all" else i.Fail)
 
 
 def make_attempt(**changes: Any) -> Attempt:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -61,21 +61,21 @@
     made = origin_only(max_origin_fills=2)
     seen = []
     for n in range(4):
-        seen += h.fetches(made.handle(1.0 + n, [h.ask(n, 100 + n, now=1.0 + n)]))
+        seen += h.fetches(made.handle(1.0 + n, [h.request(n, 100 + n, now=1.0 + n)]))
     named = [one for one in seen if h.ORIGIN in (one.source, one.member)]
     held = [one for one in seen if one not in named]
     assert (len(named), len(held)) == (2, 2), "the others ask for what their cache holds"
-    refused = h.finals(made.handle(9.0, [h.ended(held[0], i.Outcome.MISS)]))
+    refused = h.final_answers(made.handle(9.0, [h.attempt_ended(held[0], i.Outcome.MISS)]))
     assert [isinstance(one, i.Reject) and one.retry_after_ms > 0 for one in refused] == [True]
-    made.handle(10.0, [h.ended(named[0], i.Outcome.OK, is_final=True)])
-    (again,) = h.fetches(made.handle(11.0, [h.ask(9, 900, now=11.0)]))
+    made.handle(10.0, [h.attempt_ended(named[0], i.Outcome.OK, is_final=True)])
+    (again,) = h.fetches(made.handle(11.0, [h.request(9, 900, now=11.0)]))
     assert again.source == h.ORIGIN
     assert made.origin_fills.demand(11.0) > 2.9
 
 
 def test_a_write_is_no_fill() -> None:
     made = origin_only(max_origin_fills=0)
-    actions = made.handle(1.0, [h.ask(1, 7, cls=h.UNSAFE, now=1.0)])
+    actions = made.handle(1.0, [h.request(1, 7, cls=h.UNSAFE, now=1.0)])
     assert [a.member for a in actions if isinstance(a, i.Fetch)]
 
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -21,7 +21,7 @@
         now = step * 20.0
         events = [e for at, e in due if at <= now]
         due = [(at, e) for at, e in due if at > now]
-        events.append(h.ask(step, step % 97 + 1, now=now, size_kb=250.0))
+        events.append(h.request(step, step % 97 + 1, now=now, size_kb=250.0))
         for action in made.handle(now, events):
             if isinstance(action, i.SetTimer):
                 due.append((action.at_ms, i.TimerFired(action.token)))
@@ -31,11 +31,14 @@
                 hit = action.request % 4 != 0
                 state = outcome.get(action.member, "ok" if hit else outcome.get(action.source, "ok"))
                 if state == "errors":
-                    due.append((now + 20.0, h.ended(action, i.Outcome.ERROR, number)))
+                    due.append((now + 20.0, h.attempt_ended(action, i.Outcome.ERROR, number)))
                 elif state == "ok":
                     note = i.CacheStatus.HIT if hit else i.CacheStatus.FILLED
                     due.append(
-                        (now + 100.0, h.ended(action, i.Outcome.OK, number, is_final=True, cache_status=note))
+                        (
+                            now + 100.0,
+                            h.attempt_ended(action, i.Outcome.OK, number, is_final=True, cache_status=note),
+                        )
                     )
         step += 1
     return sent
@@ -74,8 +77,8 @@
 def test_one_bad_object_condemns_nobody() -> None:
     made = h.router()
     for n in range(2):
-        fetch = h.fetches(made.handle(n * 50.0, [h.ask(n, now=n * 50.0)]))[0]
-        made.handle(n * 50.0 + 10.0, [h.ended(fetch, i.Outcome.ERROR)])
+        fetch = h.fetches(made.handle(n * 50.0, [h.request(n, now=n * 50.0)]))[0]
+        made.handle(n * 50.0 + 10.0, [h.attempt_ended(fetch, i.Outcome.ERROR)])
     assert all(not h.is_ejected(made, p) for p in made.endpoints.by_id.values())
 
 
@@ -84,31 +87,31 @@
     refused: dict[float, int] = {}
     for n in range(600):
         size = (3000.0, 300.0)[n % 2]
-        if h.finals(made.handle(1.0, [h.ask(n, 5, size_kb=size)])):
+        if h.final_answers(made.handle(1.0, [h.request(n, 5, size_kb=size)])):
             refused.setdefault(size, n)
     assert refused[3000.0] < refused[300.0]
 
 
 def test_without_second_copies_never_two_at_once() -> None:
     made = h.router(allows_hedging=False)
-    actions = made.handle(0.0, [h.ask(1)])
+    actions = made.handle(0.0, [h.request(1)])
     made.outliers.eject(made.endpoints.by_id[h.fetches(actions)[0].member], "silent", made.now_ms)
     timer = next(a for a in actions if isinstance(a, i.SetTimer))
     cut = made.handle(timer.at_ms + 2000.0, [i.TimerFired(timer.token)])
     assert cut == [i.Cancel(1, 0)]
     first = h.fetches(actions)[0]
-    again = h.fetches(made.handle(timer.at_ms + 2001.0, [h.ended(first, i.Outcome.CANCELLED)]))
+    again = h.fetches(made.handle(timer.at_ms + 2001.0, [h.attempt_ended(first, i.Outcome.CANCELLED)]))
     assert len(again) == 1
 
 
 def test_with_neither_second_copies_nor_cancelling_only_the_end_of_an_attempt_lets_another_out() -> None:
     made = h.router(allows_hedging=False, allows_cancellation=False)
-    actions = made.handle(0.0, [h.ask(1)])
+    actions = made.handle(0.0, [h.request(1)])
     first = h.fetches(actions)[0]
     made.outliers.eject(made.endpoints.by_id[first.member], "silent", made.now_ms)
     timer = next(a for a in actions if isinstance(a, i.SetTimer))
     assert made.handle(timer.at_ms + 500.0, [i.TimerFired(timer.token)]) == []
-    again = h.fetches(made.handle(timer.at_ms + 600.0, [h.ended(first, i.Outcome.RESET)]))
+    again = h.fetches(made.handle(timer.at_ms + 600.0, [h.attempt_ended(first, i.Outcome.RESET)]))
     assert len(again) == 1 and again[0].member != first.member
 
 
@@ -116,11 +119,11 @@
     made = h.router()
     sent = 0
     for n in range(400):
-        out = h.fetches(made.handle(n * 20.0, [h.ask(n, n, now=n * 20.0)]))
+        out = h.fetches(made.handle(n * 20.0, [h.request(n, n, now=n * 20.0)]))
         number = 0
         while out:
             sent += 1
-            out = h.fetches(made.handle(n * 20.0 + 5.0, [h.ended(out[0], i.Outcome.ERROR, number)]))
+            out = h.fetches(made.handle(n * 20.0 + 5.0, [h.attempt_ended(out[0], i.Outcome.ERROR, number)]))
             number += 1
     assert sent <= 400 * 1.2 + 20
 
@@ -130,7 +133,7 @@
         made = h.router(coalesces_fills=joins)
         sent: set[int] = set()
         for n in range(60):
-            sent |= {f.member for f in h.fetches(made.handle(1.0, [h.ask(n, 5, size_kb=3000.0)]))}
+            sent |= {f.member for f in h.fetches(made.handle(1.0, [h.request(n, 5, size_kb=3000.0)]))}
         assert len(sent) > 2 if joins else len(sent) == 2
 
 
@@ -146,10 +149,11 @@
     made = h.router(reports_fill_source="none")
     for n in range(60):
         now = n * 50.0
-        fetch = h.fetches(made.handle(now, [h.ask(n, n + 1, now=now, size_kb=50.0)]))[0]
+        fetch = h.fetches(made.handle(now, [h.request(n, n + 1, now=now, size_kb=50.0)]))[0]
         bad = fetch.source == 21
         made.handle(
-            now + 10.0, [h.ended(fetch, i.Outcome.REJECTED if bad else i.Outcome.OK, is_final=not bad)]
+            now + 10.0,
+            [h.attempt_ended(fetch, i.Outcome.REJECTED if bad else i.Outcome.OK, is_final=not bad)],
         )
     assert h.is_ejected(made, made.endpoints.by_id[21]) and not h.is_ejected(made, made.endpoints.by_id[22])
 
@@ -158,10 +162,10 @@
     """Danger: one of a hundred routers hears from a cache twice a second; taken for silence, all stampede."""
     for copies in (True, False):
         made = h.router(allows_hedging=copies, coalesces_fills=False)
-        first = made.handle(0.0, [h.ask(1, size_kb=4000.0)])
-        other = next(n for n in range(2, 99) if h.score_top(n) == h.fetches(first)[0].member)
-        second = h.fetches(made.handle(400.0, [h.ask(2, other, now=400.0)]))[0]
-        made.handle(700.0, [h.ended(second, i.Outcome.OK, is_final=True)])
+        first = made.handle(0.0, [h.request(1, size_kb=4000.0)])
+        other = next(n for n in range(2, 99) if h.first_cache(n) == h.fetches(first)[0].member)
+        second = h.fetches(made.handle(400.0, [h.request(2, other, now=400.0)]))[0]
+        made.handle(700.0, [h.attempt_ended(second, i.Outcome.OK, is_final=True)])
         timer = next(a for a in first if isinstance(a, i.SetTimer))
         assert made.handle(timer.at_ms, [i.TimerFired(timer.token)]) == []
         assert all(p.health.consecutive_failures == 0 for p in made.endpoints.by_id.values())
@@ -170,9 +174,9 @@
 def test_own_attempt_is_not_taken_for_a_hundred() -> None:
     """With 40 routers in the location one moment's attempts say nothing of theirs; lasting ones do."""
     made = h.router(routers_by_zone=(40, 2, 0), coalesces_fills=False)
-    assert not h.finals(made.handle(0.0, [h.ask(n, 5, size_kb=3000.0) for n in range(3)]))
-    later = h.fetches(made.handle(4000.0, [h.ask(9, 5, now=4000.0, size_kb=3000.0)]))
-    assert [f.member for f in later] != [h.score_top(5)]
+    assert not h.final_answers(made.handle(0.0, [h.request(n, 5, size_kb=3000.0) for n in range(3)]))
+    later = h.fetches(made.handle(4000.0, [h.request(9, 5, now=4000.0, size_kb=3000.0)]))
+    assert [f.member for f in later] != [h.first_cache(5)]
 
 
 def overdue(made: Router, actions: list[i.Action]) -> list[i.Fetch]:
@@ -183,12 +187,16 @@
 
 def lively(made: Router, load: float = 0.2) -> list[i.Action]:
     """A request that stays out while its cache answers a later one."""
-    first = list(made.handle(0.0, [h.ask(1, 5)]))
-    other = next(n for n in range(6, 99) if h.score_top(n) == h.score_top(5))
-    later = h.fetches(made.handle(100.0, [h.ask(2, other, now=100.0)]))[0]
+    first = list(made.handle(0.0, [h.request(1, 5)]))
+    other = next(n for n in range(6, 99) if h.first_cache(n) == h.first_cache(5))
+    later = h.fetches(made.handle(100.0, [h.request(2, other, now=100.0)]))[0]
     made.handle(
         300.0,
-        [h.ended(later, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.HIT, load_report=(load,))],
+        [
+            h.attempt_ended(
+                later, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.HIT, load_report=(load,)
+            )
+        ],
     )
     return first
 
@@ -197,8 +205,8 @@
     """Danger: lost answers of a cache that is otherwise well raised no doubt, and clients gave up."""
     made = h.router(load_report_fields=("cpu_share",))
     again = overdue(made, lively(made))
-    assert [f.member for f in again] == [h.score_top(5)] and again[0].coalesce
-    assert not h.is_ejected(made, made.endpoints.by_id[h.score_top(5)])
+    assert [f.member for f in again] == [h.first_cache(5)] and again[0].coalesce
+    assert not h.is_ejected(made, made.endpoints.by_id[h.first_cache(5)])
 
 
 def test_late_answer_of_a_busy_cache_is_not_taken_for_lost() -> None:
@@ -214,17 +222,17 @@
     made = h.router(coalesces_fills=False)
     kinds: list[str] = []
     for n in range(80):
-        actions = made.handle(1.0, [h.ask(n, 5, size_kb=1500.0)])
+        actions = made.handle(1.0, [h.request(n, 5, size_kb=1500.0)])
         for fetch in h.fetches(actions):
             kinds.append("look" if fetch.source == fetch.member else "fill")
             if kinds[-1] == "look":
-                missed = made.handle(1.0, [h.ended(fetch, i.Outcome.MISS)])
-                assert h.finals(missed) and not h.fetches(missed)
-        kinds += ["refused"] * len(h.finals(actions))
+                missed = made.handle(1.0, [h.attempt_ended(fetch, i.Outcome.MISS)])
+                assert h.final_answers(missed) and not h.fetches(missed)
+        kinds += ["refused"] * len(h.final_answers(actions))
     assert kinds[0] == "fill" and "look" in kinds
     late = h.router(coalesces_fills=False)
-    sent = [late.handle(1.0, [h.ask(n, 5, size_kb=1500.0)]) for n in range(80)]
-    assert h.finals(sent[-1]) and not h.finals(sent[0])
+    sent = [late.handle(1.0, [h.request(n, 5, size_kb=1500.0)]) for n in range(80)]
+    assert h.final_answers(sent[-1]) and not h.final_answers(sent[0])
 
 
 def test_busy_cache_passes_a_few_objects_on_slowly_and_never_many() -> None:
@@ -253,7 +261,7 @@
 
 def made_pending(made: Router, object_id: int) -> RequestState:
     """A request on which boards can be asked for."""
-    return RequestState(h.ask(1, object_id), made.settings.classes[0], 300.0, 6)
+    return RequestState(h.request(1, object_id), made.settings.classes[0], 300.0, 6)
 
 
 def test_cache_that_fails_while_its_neighbours_fail_too_stays_in_use() -> None:
@@ -268,15 +276,20 @@
         made = h.router()
         for n in range(60):
             now = n * gap * 2
-            actions = made.handle(now, [h.ask(n, n + 1, now=now, size_kb=50.0)])
+            actions = made.handle(now, [h.request(n, n + 1, now=now, size_kb=50.0)])
             fetch = h.fetches(actions)[0]
             lost = fetch.source == 21
             done = (
-                h.ended(fetch, i.Outcome.REJECTED, cache_status=i.CacheStatus.SOURCE_FAILED) if lost else None
+                h.attempt_ended(fetch, i.Outcome.REJECTED, cache_status=i.CacheStatus.SOURCE_FAILED)
+                if lost
+                else None
             )
             made.handle(
                 now + 10.0,
-                [done or h.ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)],
+                [
+                    done
+                    or h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)
+                ],
             )
             if h.is_ejected(made, made.endpoints.by_id[21]):
                 break
@@ -292,11 +305,11 @@
     for bad_every, gone in ((1, True), (2, False)):
         made = h.router(max_attempts=1)
         for n in range(12):
-            fetch = h.fetches(made.handle(n * 500.0, [h.ask(n, 5, now=n * 500.0)]))[0]
+            fetch = h.fetches(made.handle(n * 500.0, [h.request(n, 5, now=n * 500.0)]))[0]
             good = n % bad_every == bad_every - 1 and bad_every > 1
             outcome = i.Outcome.OK if good else i.Outcome.RESET
-            made.handle(n * 500.0 + 50.0, [h.ended(fetch, outcome, is_final=good)])
-        assert (made.endpoints.by_id[h.score_top(5)].health.ejections > 0) == gone
+            made.handle(n * 500.0 + 50.0, [h.attempt_ended(fetch, outcome, is_final=good)])
+        assert (made.endpoints.by_id[h.first_cache(5)].health.ejections > 0) == gone
 
 
 def test_an_error_counts_against_a_cache_only_where_another_serves_the_request() -> None:
@@ -305,27 +318,27 @@
         r = h.router()
         for n in range(8):
             now, sent = n * 500.0, 1
-            fetch = h.fetches(r.handle(now, [h.ask(n, now=now)]))[0]
-            again = h.fetches(r.handle(now + 1.0, [h.ended(fetch, i.Outcome.ERROR)]))
+            fetch = h.fetches(r.handle(now, [h.request(n, now=now)]))[0]
+            again = h.fetches(r.handle(now + 1.0, [h.attempt_ended(fetch, i.Outcome.ERROR)]))
             for fetch in again:
                 sent += 1
                 outcome = i.Outcome.ERROR if bad_request else i.Outcome.OK
-                done = r.handle(now + 2.0, [h.ended(fetch, outcome, 1, is_final=not bad_request)])
-                assert len(h.finals(done)) == bad_request and not h.fetches(done)
+                done = r.handle(now + 2.0, [h.attempt_ended(fetch, outcome, 1, is_final=not bad_request)])
+                assert len(h.final_answers(done)) == bad_request and not h.fetches(done)
             assert sent <= 2
-        assert (r.endpoints.by_id[h.score_top(5)].health.ejections > 0) != bad_request
+        assert (r.endpoints.by_id[h.first_cache(5)].health.ejections > 0) != bad_request
 
 
 def test_a_broken_connection_is_one_failure_and_no_sign_of_a_cold_process() -> None:
     """Danger: all that was out on it ends at once, and would put the cache out of use."""
     r = h.router()
-    sent = [h.fetches(r.handle(0.0, [h.ask(n)]))[0] for n in range(6)]
+    sent = [h.fetches(r.handle(0.0, [h.request(n)]))[0] for n in range(6)]
     top = r.endpoints.by_id[sent[0].member]
     for fetch in sent:
-        r.handle(10.0, [h.ended(fetch, i.Outcome.RESET)])
+        r.handle(10.0, [h.attempt_ended(fetch, i.Outcome.RESET)])
     assert not top.health.ejections and top.slow_start.factor(20.0) == 1.0
-    fetch = h.fetches(r.handle(20.0, [h.ask(9, now=20.0)]))[0]
-    r.handle(30.0, [h.ended(fetch, i.Outcome.RESET)])
+    fetch = h.fetches(r.handle(20.0, [h.request(9, now=20.0)]))[0]
+    r.handle(30.0, [h.attempt_ended(fetch, i.Outcome.RESET)])
     assert fetch.member == top.id and top.slow_start.factor(40.0) < 1.0
 
 
@@ -334,21 +347,21 @@
     r = h.router(allows_origin_direct=True)
     for n in range(60):
         now = 100.0 * n
-        sent, attempt = h.fetches(r.handle(now, [h.ask(n, object_id=n, now=now)])), 0
+        sent, attempt = h.fetches(r.handle(now, [h.request(n, object_id=n, now=now)])), 0
         while sent and sent[0].member in h.CACHES:
-            sent = h.fetches(r.handle(now, [h.ended(sent[0], i.Outcome.CONNECT_FAILED, attempt)]))
+            sent = h.fetches(r.handle(now, [h.attempt_ended(sent[0], i.Outcome.CONNECT_FAILED, attempt)]))
             attempt += 1
         for fetch in sent:
-            r.handle(now + 50.0, [h.ended(fetch, i.Outcome.OK, attempt, is_final=True)])
-    sent = h.fetches(r.handle(6000.0, [h.ask(n, n, now=6000.0) for n in range(100, 110)]))
+            r.handle(now + 50.0, [h.attempt_ended(fetch, i.Outcome.OK, attempt, is_final=True)])
+    sent = h.fetches(r.handle(6000.0, [h.request(n, n, now=6000.0) for n in range(100, 110)]))
     straight = [f for f in sent if f.member in h.PARENTS and f.source == h.ORIGIN]
     assert len(straight) >= 6
-    wrote = h.fetches(r.handle(6000.0, [h.ask(111, cls=h.UNSAFE, now=6000.0)]))
+    wrote = h.fetches(r.handle(6000.0, [h.request(111, cls=h.UNSAFE, now=6000.0)]))
     assert (wrote[0].member, wrote[0].source) == (h.ORIGIN, h.ORIGIN)
     # Out of use for EJECT_MS, cold by then: the trickle of trials finds a cache that answers again.
     later = []
     for n in range(200, 240):
-        later += h.fetches(r.handle(20000.0 + n, [h.ask(n, n, now=20000.0 + n)]))
+        later += h.fetches(r.handle(20000.0 + n, [h.request(n, n, now=20000.0 + n)]))
     assert any(f.member in h.CACHES for f in later)
 
 
@@ -357,9 +370,9 @@
     made = h.router(reports_fill_source=tells)
     for n in range(40):
         now = n * 60.0
-        fetch = h.fetches(made.handle(now, [h.ask(n, n + 1, now=now)]))[0]
+        fetch = h.fetches(made.handle(now, [h.request(n, n + 1, now=now)]))[0]
         made.handle(now + 745.0, [i.TimerFired((n << 8) + 1)])
-        end = h.ended(
+        end = h.attempt_ended(
             fetch,
             i.Outcome.OK,
             elapsed_ms=elapsed,
@@ -383,6 +396,6 @@
 def test_an_absurd_size_is_its_own_requests_matter() -> None:
     made = h.router()
     for n, size in enumerate((1500.0, 999_999_999.0, 0.0, 1500.0)):
-        made.handle(n * 10.0, [h.ask(n, 5, now=n * 10.0, size_kb=size)])
+        made.handle(n * 10.0, [h.request(n, 5, now=n * 10.0, size_kb=size)])
     assert max(made.transfer_times.answer_ms) <= made.settings.classes[0].deadline_ms
     assert made.requests[2].transfer_ms == pytest.approx((300.0 + 5000.0) / 2)  # not told: the mean of two
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -34,7 +34,7 @@
         events: list[i.Event] = []
         ending: int | None = None
         if what == "ask":
-            asks[n] = h.ask(n, pick + 1, pick % 4, now)
+            asks[n] = h.request(n, pick + 1, pick % 4, now)
             events.append(asks[n])
         elif what == "end" and out:
             key = sorted(out)[pick % len(out)]
@@ -43,7 +43,7 @@
             if outcome not in i.OUTCOMES_WITHOUT_EFFECT:
                 risky.setdefault(key[0], []).append((fetch, now))
             ending = key[0] if outcome == i.Outcome.OK else None
-            events.append(h.ended(fetch, outcome, key[1], is_final=final))
+            events.append(h.attempt_ended(fetch, outcome, key[1], is_final=final))
         elif what == "purge":
             purged[pick + 1] = now - gap
             events.append(i.Purged(pick + 1, 0, gap))
@@ -88,7 +88,7 @@
     for n, key in enumerate(sorted(out)):
         final = key[0] in over
         for action in made.handle(
-            now + 6000.0 + n, [h.ended(out[key], i.Outcome.TIMEOUT, key[1], is_final=final)]
+            now + 6000.0 + n, [h.attempt_ended(out[key], i.Outcome.TIMEOUT, key[1], is_final=final)]
         ):
             if isinstance(action, (i.Reject, i.Fail)):
                 assert action.request not in over
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -21,12 +21,12 @@
     [
         (h.SAFE, 0, False, None, FreshnessBound(0.0, True)),
         (h.SAFE, 1, True, None, FreshnessBound(0.0, True)),
-        (h.PAGE, 0, False, None, FreshnessBound(0.0, True)),
-        (h.PAGE, 1, False, None, FreshnessBound(FRESH_MS + STALE_MS, True)),
-        (h.PAGE, 0, True, None, FreshnessBound(FRESH_MS + STALE_MS, True)),
+        (h.EXPIRING, 0, False, None, FreshnessBound(0.0, True)),
+        (h.EXPIRING, 1, False, None, FreshnessBound(FRESH_MS + STALE_MS, True)),
+        (h.EXPIRING, 0, True, None, FreshnessBound(FRESH_MS + STALE_MS, True)),
         (h.SAFE, 0, False, 19_000.0, FreshnessBound(999.0, False)),
-        (h.PAGE, 0, False, 19_000.0, FreshnessBound(999.0, False)),
-        (h.PAGE, 1, False, 10_500.0, FreshnessBound(9499.0, False)),
+        (h.EXPIRING, 0, False, 19_000.0, FreshnessBound(999.0, False)),
+        (h.EXPIRING, 1, False, 10_500.0, FreshnessBound(9499.0, False)),
         (h.SAFE, 0, False, 20_000.0, FreshnessBound(purges.MIN_AGE_MS, False)),
         (h.SAFE, 0, False, 9_000.0, FreshnessBound(0.0, True)),  # settled
     ],
@@ -103,5 +103,5 @@
     log = PurgeLog()
     if purged_ms is not None:
         log.record(Purged(5, 0, 0.0), purged_ms, SETTLE_MS)
-    state = parts.request_state(h.PAGE, local_copy_age_ms=age_ms, local_link_wait_ms=wait_ms)
+    state = parts.request_state(h.EXPIRING, local_copy_age_ms=age_ms, local_link_wait_ms=wait_ms)
     assert log.may_serve_local_copy(state, h.settings(), 20_000.0) == allowed
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -60,7 +60,7 @@
                 lost = action.member in self.down
                 outcome = i.Outcome.CONNECT_FAILED if lost else i.Outcome.OK
                 took, note = (5.0, i.CacheStatus.UNKNOWN) if lost else (ANSWER_MS, i.CacheStatus.FILLED)
-                ended = h.ended(
+                ended = h.attempt_ended(
                     action, outcome, attempt, elapsed_ms=took, is_final=not lost, cache_status=note
                 )
                 self.later(self.now + took, n, ended)
@@ -92,7 +92,7 @@
                 self.owed -= 1.0
                 self.number += 1
                 n = self.random.choices(range(len(self.routers)), self.busy)[0]
-                self.handle(n, h.ask(self.number, self.number, h.SAFE, self.now, size_kb=1000.0))
+                self.handle(n, h.request(self.number, self.number, h.SAFE, self.now, size_kb=1000.0))
 
     def to(self, id_: int) -> list[float]:
         return [at for at, f, _ in self.sent if id_ in (f.member, f.source)]
--- a/tests/test_second.py
+++ b/tests/test_second.py
@@ -30,18 +30,18 @@
 
 @pytest.mark.parametrize("heard_before", [0.0, 1.0, 499.0, 501.0, 5999.0])
 def test_a_purge_binds_from_when_it_is_heard_not_from_when_its_slack_is_over(heard_before: float) -> None:
-    for cls in (h.SAFE, h.PAGE):
+    for cls in (h.SAFE, h.EXPIRING):
         made = h.router(1000.0, **SECOND)
         made.handle(2000.0, [i.Purged(5, 0, 40.0)])
         now = 2000.0 + heard_before
-        fetch = h.fetches(made.handle(now, [h.ask(1, 5, cls, now)]))[0]
+        fetch = h.fetches(made.handle(now, [h.request(1, 5, cls, now)]))[0]
         assert 0.0 < fetch.max_age_ms < heard_before + 40.0 + 0.01 and not fetch.coalesce
 
 
 def test_sizes_that_differ_between_two_requests_for_one_part_are_each_requests_own() -> None:
     made = h.router(**SECOND)
     for n, size in enumerate((1500.0, 15.0, 0.0)):
-        made.handle(n * 10.0, [h.ask(n, 5, now=n * 10.0, size_kb=size)])
+        made.handle(n * 10.0, [h.request(n, 5, now=n * 10.0, size_kb=size)])
     works = [made.requests[n].transfer_ms for n in range(3)]
     assert works[0] == pytest.approx(300.0) and works[1] == pytest.approx(3.0)
     assert works[2] == pytest.approx((300.0 + 3.0) / 2)  # not told: the mean
@@ -77,12 +77,14 @@
                 one.handle(now, events)
         one = routers[step % count]
         asked += 1
-        actions = one.handle(now, [h.ask(step, step % 211 + 1, now=now, size_kb=250.0)])
-        refused += len(h.finals(actions))
+        actions = one.handle(now, [h.request(step, step % 211 + 1, now=now, size_kb=250.0)])
+        refused += len(h.final_answers(actions))
         for fetch in h.fetches(actions):
             for number in {fetch.member, fetch.source}:
                 sent.setdefault(number, []).append((now, 50.0))
-            one.handle(now, [h.ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)])
+            one.handle(
+                now, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)]
+            )
     assert refused < asked * 0.05
     for cache, at in born.items():
         assert sent.get(cache), "it is never used"
@@ -105,10 +107,12 @@
     for step in range(2500):
         now = 1000.0 + step * 2.0
         one = routers[step % count]
-        for fetch in h.fetches(one.handle(now, [h.ask(step, step, now=now, size_kb=1500.0)])):
+        for fetch in h.fetches(one.handle(now, [h.request(step, step, now=now, size_kb=1500.0)])):
             if cold in (fetch.member, fetch.source):
                 sent.append((now, 300.0))
-            one.handle(now, [h.ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)])
+            one.handle(
+                now, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)]
+            )
     assert sent, "nobody uses it"
     for at, _ in sent:
         work = sum(w for t, w in sent if at <= t < at + 1000.0)
@@ -119,5 +123,5 @@
 def test_no_cache_is_ever_named_as_a_source_whatever_the_settings_allow() -> None:
     made = h.router(**SECOND)
     for n in range(200):
-        for fetch in h.fetches(made.handle(n * 5.0, [h.ask(n, n, now=n * 5.0)])):
+        for fetch in h.fetches(made.handle(n * 5.0, [h.request(n, n, now=n * 5.0)])):
             assert fetch.source in (fetch.member, *h.PARENTS, h.ORIGIN)  # itself: no fill
