--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -32,7 +32,7 @@
         (19, 0.0, "none", 0.0),
     ],
 )
-def test_the_expected_latency_grows_beyond_the_capacity(
+def test_expected_latency_grows_beyond_capacity(
     in_flight: int, mean: float, weights: str, expected: float
 ) -> None:
     control, table, _ = admission(member_weights=weights)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("coalesces", "expected"), [(False, 0.66), (True, 0.66 / 1.8)])
-def test_coalesced_fills_lower_the_latency_ratio(coalesces: bool, expected: float) -> None:
+def test_coalesced_fills_lower_latency_ratio(coalesces: bool, expected: float) -> None:
     control, table, _ = admission(coalesces_fills=coalesces)
     table.by_id[11].load.in_flight = 10
     table.by_id[11].load.mean_updated_ms = 100.0
@@ -55,9 +55,7 @@
     ("ratio", "load", "shed"),
     [(0.5, None, False), (0.76, None, True), (0.75, 0.85, False), (0.5, 0.86, True)],
 )
-def test_a_request_is_shed_by_its_latency_or_the_caches_load(
-    ratio: float, load: float | None, shed: bool
-) -> None:
+def test_request_is_shed_by_latency_or_reported_load(ratio: float, load: float | None, shed: bool) -> None:
     control, table, _ = admission()
     table.by_id[11].load.reported = load
     assert control.must_shed(ratio, table.by_id[11]) == shed
@@ -75,7 +73,7 @@
         (False, 3, None),
     ],
 )
-def test_the_first_idle_cache_of_the_ranking_takes_the_request(
+def test_first_idle_cache_of_ranking_is_chosen(
     coalesces: bool, busy: int, expected_place: int | None
 ) -> None:
     control, table, _ = admission(coalesces_fills=coalesces)
@@ -87,7 +85,7 @@
     assert control.idle_cache(state, 100.0) is expected
 
 
-def test_no_cache_takes_it_while_fills_are_restricted() -> None:
+def test_no_idle_cache_is_chosen_while_fills_are_limited() -> None:
     control, _, limits = admission()
     limits.late.allowed_share = 0.9
     assert control.idle_cache(parts.request_state(), 100.0) is None
@@ -96,6 +94,6 @@
 @pytest.mark.parametrize(
     ("draw", "most", "expected"), [(0.5, 1000.0, 100.0), (0.0, 1000.0, 60.0), (0.5, 40.0, 40.0)]
 )
-def test_retry_after_differs_between_draws_and_has_a_bound(draw: float, most: float, expected: float) -> None:
+def test_retry_after_has_jitter_and_maximum(draw: float, most: float, expected: float) -> None:
     control, _, _ = admission(draw, max_retry_after_ms=most)
     assert control.retry_after_ms() == pytest.approx(expected)
--- a/tests/test_attempt_planner.py
+++ b/tests/test_attempt_planner.py
@@ -39,7 +39,7 @@
         return self.planner.plan(self.state, now_ms)
 
 
-def test_the_first_cache_is_filled_by_the_first_parent() -> None:
+def test_first_cache_is_filled_by_first_parent() -> None:
     setup = Setup()
     plan = setup.plan()
     assert plan is not None and (plan.endpoint, plan.source) == (setup.caches[0], setup.parents[0])
@@ -47,14 +47,14 @@
     assert plan.objective_ms == 500.0 + 2.0 * 300.0
 
 
-def test_a_write_goes_through_the_first_cache_to_the_origin() -> None:
+def test_write_goes_through_first_cache_to_origin() -> None:
     setup = Setup()
     plan = setup.plan(h.UNSAFE)
     assert plan is not None and (plan.endpoint, plan.source) == (setup.caches[0], setup.table.origin)
     assert not plan.uses_origin_fill and setup.origin_fills.in_flight == 0
 
 
-def test_an_ejected_cache_and_parent_are_passed_over_until_a_trial_is_due() -> None:
+def test_ejected_cache_and_parent_are_skipped_until_trial_is_due() -> None:
     setup = Setup()
     setup.outliers.eject(setup.caches[0], "test", 0.0)
     setup.outliers.eject(setup.parents[0], "test", 0.0)
@@ -65,7 +65,7 @@
     assert plan.is_cache_trial and not plan.is_source_trial, "only a first request tests a parent"
 
 
-def test_parents_stand_in_for_a_lost_location_where_the_settings_allow_it() -> None:
+def test_parents_replace_lost_location_if_allowed() -> None:
     for direct in (False, True):
         setup = Setup(allows_origin_direct=direct)
         for cache in setup.caches:
@@ -84,9 +84,7 @@
         (h.UNSAFE, 100.0, 1, "no member may be sent to"),
     ],
 )
-def test_an_attempt_that_may_not_be_sent_has_a_reason(
-    cls: int, now_ms: float, attempts: int, reason: str
-) -> None:
+def test_rejected_attempt_has_reason(cls: int, now_ms: float, attempts: int, reason: str) -> None:
     setup = Setup()
     state = parts.request_state(cls)
     for _ in range(attempts):
@@ -94,7 +92,7 @@
     assert setup.planner.plan(state, now_ms) is None and state.reason == reason
 
 
-def test_without_members_nothing_may_be_sent() -> None:
+def test_no_attempt_without_members() -> None:
     setup = Setup()
     setup.table.apply(
         h.delta(*(h.member(id_, state=0) for id_ in (*h.CACHES, *h.PARENTS, h.ORIGIN))), 1.0, 0.0
@@ -111,7 +109,7 @@
         (4, 60, None, False),
     ],
 )
-def test_a_busy_location_redirects_then_restricts_then_sheds(
+def test_busy_location_redirects_then_limits_fills_then_sheds(
     busy: int, in_flight: int, place: int | None, has_source: bool
 ) -> None:
     setup = Setup()
@@ -129,7 +127,7 @@
     ("max_fills", "withholds", "source", "counted"),
     [(1, False, h.ORIGIN, 1), (-1, False, h.ORIGIN, 1), (0, False, None, 0), (1, True, None, 0)],
 )
-def test_a_fill_at_the_origin_needs_capacity_there(
+def test_origin_fill_requires_capacity(
     max_fills: int, withholds: bool, source: int | None, counted: int
 ) -> None:
     setup = Setup(max_origin_fills=max_fills)
@@ -142,7 +140,7 @@
     assert plan.only_if_cached == withholds
 
 
-def test_a_failed_fill_moves_the_objects_fills_to_another_parent_for_a_while() -> None:
+def test_failed_fill_moves_fills_to_another_parent_temporarily() -> None:
     setup = Setup()
     state = parts.request_state()
     attempt = parts.attempt_state(setup.caches[0], setup.parents[0])
@@ -155,9 +153,7 @@
 
 
 @pytest.mark.parametrize(("transfer_ms", "expected"), [(0.0, 500.0), (300.0, 1100.0), (4000.0, 5000.0)])
-def test_the_objective_grows_with_the_transfer_time_up_to_the_deadline(
-    transfer_ms: float, expected: float
-) -> None:
+def test_objective_grows_with_transfer_time_up_to_deadline(transfer_ms: float, expected: float) -> None:
     state = parts.request_state()
     state.transfer_ms = transfer_ms
     assert latency_objective_ms(state) == expected
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -57,7 +57,7 @@
         (Outcome.DISCARDED, Status.UNKNOWN, "hit", 0, 0.0, 0),
     ],
 )
-def test_an_outcome_counts_against_the_cache_the_parent_or_neither(
+def test_outcome_counts_against_cache_or_parent_or_neither(
     outcome: Outcome,
     status: Status,
     reports: str,
@@ -76,28 +76,28 @@
     ("outcome", "left"),
     [(Outcome.OK, 0), (Outcome.MISS, 0), (Outcome.REJECTED, 0), (Outcome.ERROR, 2), (Outcome.CANCELLED, 2)],
 )
-def test_any_answer_but_an_error_ends_the_failures_in_a_row(outcome: Outcome, left: int) -> None:
+def test_any_answer_except_error_resets_consecutive_failures(outcome: Outcome, left: int) -> None:
     setup = Setup(reports_fill_source="all")
     setup.cache.health.consecutive_failures = 2
     setup.end(outcome)
     assert setup.cache.health.consecutive_failures == left
 
 
-def test_silence_points_to_the_source_once_the_cache_has_answered_another_attempt() -> None:
+def test_overdue_attempt_counts_against_source_if_cache_answers_others() -> None:
     setup = Setup()
     setup.cache.health.last_answer_ms = 150.0
     setup.attribution.record_overdue(setup.attempt, NOW_MS)
     assert (setup.cache.health.consecutive_failures, setup.parent.health.failures) == (0, 1.0)
 
 
-def test_an_overdue_attempt_that_times_out_counts_once() -> None:
+def test_overdue_attempt_that_times_out_counts_once() -> None:
     setup = Setup()
     setup.attempt.is_overdue = True
     setup.end(Outcome.TIMEOUT)
     assert setup.cache.health.consecutive_failures == 0
 
 
-def test_an_error_counts_against_a_cache_once_another_has_answered() -> None:
+def test_error_counts_against_cache_after_another_has_answered() -> None:
     setup = Setup()
     setup.end(Outcome.ERROR)
     assert setup.state.errored_attempts == [setup.attempt]
@@ -107,7 +107,7 @@
     assert setup.cache.health.consecutive_failures == 1
 
 
-def test_a_broken_connection_counts_once_for_all_attempts_on_it() -> None:
+def test_broken_connection_counts_once_for_all_its_attempts() -> None:
     setup = Setup()
     setup.end(Outcome.RESET)
     setup.end(Outcome.RESET)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "failures_before"), [(Outcome.CONNECT_FAILED, 0), (Outcome.RESET, 1)])
-def test_a_process_that_is_down_will_be_in_slow_start(outcome: Outcome, failures_before: int) -> None:
+def test_process_that_is_down_enters_slow_start(outcome: Outcome, failures_before: int) -> None:
     setup = Setup()
     setup.cache.health.consecutive_failures = failures_before
     setup.end(outcome)
@@ -127,7 +127,7 @@
     ("local_cache", "priority", "final", "stored"),
     [(True, 2, True, True), (True, 1, True, False), (True, 2, False, False), (False, 3, True, False)],
 )
-def test_a_repeated_request_s_final_answer_is_stored_in_the_local_cache(
+def test_final_answer_of_repeated_request_is_stored_locally(
     local_cache: bool, priority: int, final: bool, stored: bool
 ) -> None:
     setup = Setup(has_local_cache=local_cache)
@@ -147,7 +147,7 @@
         ("none", True, Status.UNKNOWN, 1.0),
     ],
 )
-def test_a_likely_fill_counts_for_the_parent(
+def test_likely_fill_counts_as_success_of_parent(
     reports: str, first: bool, status: Status, counted: float
 ) -> None:
     setup = Setup(reports_fill_source=reports)
@@ -166,7 +166,7 @@
         ("hit", True, 0.0, NOW_MS, 0),
     ],
 )
-def test_a_fill_is_late_on_its_way(
+def test_fill_delayed_on_network_path_is_late(
     reports: str, overdue: bool, wait_ms: float, objective_ms: float, late: int
 ) -> None:
     setup = Setup(reports_fill_source=reports)
@@ -179,9 +179,7 @@
 @pytest.mark.parametrize(
     ("size_kb", "status", "samples"), [(0.0, Status.HIT, 1), (0.0, Status.FILLED, 0), (9.0, Status.HIT, 0)]
 )
-def test_a_transfer_time_is_learned_where_no_size_was_stated(
-    size_kb: float, status: Status, samples: int
-) -> None:
+def test_transfer_time_is_learned_if_size_is_unknown(size_kb: float, status: Status, samples: int) -> None:
     setup = Setup()
     setup.state = parts.request_state(size_kb=size_kb)
     setup.end(Outcome.OK, status)
--- a/tests/test_decision_retries.py
+++ b/tests/test_decision_retries.py
@@ -1,4 +1,4 @@
-"""Which attempts may be repeated, when, and out of which budget."""
+"""Unit tests of retries: which attempts may be repeated, when, and within which budget."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "scope", "first", "then", "elapsed_ms", "allowed"),
+    ("cls", "scope", "first_member", "next_member", "elapsed_ms", "allowed"),
     [
         (h.SAFE, "all", 11, 12, 10.0, True),
         (h.KEYED, "all", 11, 12, 10.0, True),
@@ -29,23 +29,23 @@
         (h.UNSAFE, "all", 11, 11, 10.0, False),
     ],
 )
-def test_an_attempt_is_repeated_only_where_that_does_no_harm(
-    cls: int, scope: str, first: int, then: int, elapsed_ms: float, allowed: bool
+def test_attempt_is_repeated_only_if_safe(
+    cls: int, scope: str, first_member: int, next_member: int, elapsed_ms: float, allowed: bool
 ) -> None:
     endpoints = parts.endpoint_table().by_id
     state = parts.request_state(cls)
     values = {name: getattr(state.service_class, name) for name in i.ServiceClass.__slots__}
     state.service_class = i.ServiceClass(**(values | {"deduplication_scope": scope}))
-    assert retries.may_repeat(state, endpoints[then], elapsed_ms), "nothing was sent before"
-    state.add_attempt(parts.attempt_state(endpoints[first]))
-    assert retries.may_repeat(state, endpoints[then], elapsed_ms) == allowed
+    assert retries.may_repeat(state, endpoints[next_member], elapsed_ms), "no earlier attempt"
+    state.add_attempt(parts.attempt_state(endpoints[first_member]))
+    assert retries.may_repeat(state, endpoints[next_member], elapsed_ms) == allowed
 
 
 @pytest.mark.parametrize(
     ("cls", "was_sent", "safe"),
     [(h.SAFE, True, True), (h.KEYED, False, True), (h.KEYED, True, False), (h.UNSAFE, True, False)],
 )
-def test_a_client_may_retry_what_is_idempotent_or_was_not_sent(cls: int, was_sent: bool, safe: bool) -> None:
+def test_client_may_retry_idempotent_or_unsent_request(cls: int, was_sent: bool, safe: bool) -> None:
     state = parts.request_state(cls)
     if was_sent:
         state.add_attempt(parts.attempt_state(parts.endpoint_table().by_id[11]))
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "forgotten"),
+    ("outcome", "cleared"),
     [
         (Outcome.REJECTED, True),
         (Outcome.CONNECT_FAILED, True),
@@ -65,7 +65,7 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_a_first_attempt_without_effect_is_forgotten(outcome: Outcome, forgotten: bool) -> None:
+def test_first_attempt_without_effect_is_cleared(outcome: Outcome, cleared: bool) -> None:
     state = parts.request_state(h.KEYED)
     attempt = parts.attempt_state(parts.endpoint_table().by_id[11])
     state.add_attempt(attempt)
@@ -73,14 +73,14 @@
     assert state.first_attempt_endpoint is attempt.endpoint, "another attempt is still in flight"
     state.open_attempts.clear()
     retries.forget_attempt_without_effect(state, attempt, outcome)
-    assert (state.first_attempt_endpoint is None) == forgotten
+    assert (state.first_attempt_endpoint is None) == cleared
 
 
 @pytest.mark.parametrize(
     ("objective_ms", "transfer_ms", "expected"),
     [(1000.0, 200.0, 720.0), (500.0, 300.0, 250.0), (100.0, 0.0, 250.0), (900.0, 0.0, 780.0)],
 )
-def test_an_attempt_is_overdue_early_enough_for_a_second_one(
+def test_attempt_is_overdue_in_time_for_second_attempt(
     objective_ms: float, transfer_ms: float, expected: float
 ) -> None:
     assert retries.overdue_after_ms(objective_ms, transfer_ms) == pytest.approx(expected)
@@ -94,14 +94,14 @@
         (Outcome.TIMEOUT, 4000.0, {}, True),
         (Outcome.MISS, 100.0, {}, False),
         (Outcome.MISS, 100.0, {"is_write": True}, True),
-        (Outcome.ERROR, 4700.0, {}, False),  # its transfer takes 300 ms of the 5,000
+        (Outcome.ERROR, 4700.0, {}, False),  # the transfer takes 300 ms, the deadline is 5,000 ms
         (Outcome.TIMEOUT, 4995.0, {"cancelled": True}, False),
         (Outcome.CANCELLED, 4900.0, {"cancelled": True}, True),
         (Outcome.ERROR, 100.0, {"errors": 2}, False),
         (Outcome.ERROR, 100.0, {"saved": 0.9}, False),
     ],
 )
-def test_a_request_is_retried_in_time_and_within_the_budget(
+def test_request_is_retried_only_in_time_and_within_budget(
     outcome: Outcome, now_ms: float, changes: dict[str, Any], allowed: bool
 ) -> None:
     state = parts.request_state(is_write=changes.get("is_write", False))
@@ -125,7 +125,7 @@
         (h.UNSAFE, 100.0, 1, 5.0, False),
     ],
 )
-def test_only_one_hedge_of_an_idempotent_request_that_can_be_in_time(
+def test_only_idempotent_request_is_hedged_once_and_in_time(
     cls: int, now_ms: float, open_attempts: int, saved: float, allowed: bool
 ) -> None:
     state = parts.request_state(cls)
@@ -136,7 +136,7 @@
     assert budget.may_hedge(state, now_ms) == allowed
 
 
-def test_requests_earn_retries_up_to_a_bound() -> None:
+def test_requests_earn_retries_up_to_maximum() -> None:
     budget = RetryBudget()
     for _ in range(15):
         budget.spend(True)
@@ -163,7 +163,7 @@
         (Outcome.ERROR, Status.ORIGIN_FAILED, "hit", False),
     ],
 )
-def test_outcomes_that_may_mean_a_failed_fill(
+def test_outcomes_that_may_be_failed_fills(
     outcome: Outcome, status: Status, reports: str, expected: bool
 ) -> None:
     event = i.AttemptEnded(1, 0, 11, outcome, cache_status=status)
--- a/tests/test_decision_trace.py
+++ b/tests/test_decision_trace.py
@@ -1,4 +1,4 @@
-"""Seeded events over several deployments, and one hash of every action that the decisions answer with."""
+"""Seeded event sequences in several deployments, checked by one hash of all returned actions."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 def service_classes() -> tuple[i.ServiceClass, ...]:
-    """A class of each kind of idempotency, one with a freshness bound, one of writes.
+    """Classes of each kind of idempotency, one with a freshness lifetime, one of writes.
 
-    Fields go by position: the expected hash comes from a version whose fields had other names.
+    Fields are positional because the expected hash was computed with a version whose fields had other names.
     """
     safe, keyed, unsafe = (i.Idempotency(n) for n in range(3))
     return (
@@ -37,7 +37,7 @@
 
 
 def deployments() -> list[i.Settings]:
-    """Settings that differ in what a deployment allows and reports."""
+    """Settings of deployments that differ in allowed features and in reports."""
     return [
         deployment(True, True, True, "hit", False),
         deployment(True, True, True, "all", True, local_cache=True),
@@ -56,7 +56,7 @@
     local_cache: bool = False,
     leases: tuple[float, float, int] = (-1.0, -1.0, -1),
 ) -> i.Settings:
-    """One deployment; fields go by position, in the order of `Settings`."""
+    """One deployment; fields are positional, in the order of `Settings`."""
     values: tuple[Any, ...] = (
         *(service_classes(), 1, 0, 5, (3, 2, 0)),
         *(5, hedging, cancellation, 1000.0, 20000, True, 0.0, 250.0, 8.0),
@@ -67,52 +67,52 @@
     return i.Settings(*values)
 
 
-class World:
-    """Members whose faults follow a seed, before one router; it turns actions into later events."""
+class Simulation:
+    """One router and its members, with seeded faults; turns actions into later events."""
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
         self.random = Random(seed)
         self.settings = settings
         self.router = Router(settings, seed)
         self.now = 0.0
-        self.number = 0
+        self.last_id = 0
         self.queue: list[tuple[float, int, i.Event]] = []
-        self.order = 0
-        self.open: set[tuple[int, int]] = set()
+        self.sequence = 0
+        self.open_attempts: set[tuple[int, int]] = set()
         self.attempts: dict[int, int] = {}
-        self.bad: dict[int, str] = {}
+        self.faults: dict[int, str] = {}
         self.digest = hashlib.sha256()
         self.counts = dict.fromkeys(range(len(ACTION_TYPES)), 0)
 
-    def later(self, delay: float, event: i.Event) -> None:
-        """Queue an event; events of one moment keep their order."""
-        self.order += 1
-        heapq.heappush(self.queue, (self.now + delay, self.order, event))
+    def schedule(self, delay: float, event: i.Event) -> None:
+        """Queue an event; events at the same time keep their order."""
+        self.sequence += 1
+        heapq.heappush(self.queue, (self.now + delay, self.sequence, event))
 
     def member(self, id_: int, state: int = 1, started: float = 0.0) -> i.Member:
-        """A line of the endpoint list, by the number's range."""
+        """An entry of the endpoint list, by the range of the id."""
         kind = 0 if id_ < 20 else 1 if id_ < 30 else 2
         zone = id_ // 17 if kind == 0 else 2
         capacity = (4.0, 9.0, 10.0)[id_ % 3]
         return i.Member(id_, zone, kind, id_ % 2, i.MemberState(state), capacity, started)
 
     def handle(self, events: list[i.Event]) -> None:
-        """Hand events over, add the actions to the hash, and queue what they lead to."""
+        """Pass events to the router, add its actions to the hash, and queue the resulting events."""
         for action in self.router.handle(self.now, events):
             kind = ACTION_TYPES.index(type(action))
             self.counts[kind] += 1
             self.digest.update(repr((kind, dataclasses.astuple(action))).encode())
             if isinstance(action, i.SetTimer):
-                self.later(max(0.0, action.at_ms - self.now), i.TimerFired(action.token))
+                self.schedule(max(0.0, action.at_ms - self.now), i.TimerFired(action.token))
             elif isinstance(action, i.Fetch):
                 self.start(*dataclasses.astuple(action)[:3])
             elif isinstance(action, i.Cancel):
-                self.later(1.0, self.ended(action.request, action.attempt, 0, 6, 1.0))
+                self.schedule(1.0, self.ended(action.request, action.attempt, 0, 6, 1.0))
 
     def ended(
         self, request: int, attempt: int, member: int, outcome: int, elapsed: float, status: int = 0
     ) -> i.AttemptEnded:
-        """An attempt's end; a timely answer is final."""
+        """The end of an attempt; a success is final."""
         final = outcome == 0
         load = (3.0, self.random.choice([0.2, 0.5, 0.7, 0.95])) if self.random.random() < 0.7 else ()
         wait = elapsed * self.random.random()
@@ -122,10 +122,10 @@
         )
 
     def start(self, request: int, member: int, source: int) -> None:
-        """Draw how an attempt goes."""
+        """Choose the outcome of an attempt at random and queue its end."""
         attempt = self.attempts[request] = self.attempts.get(request, -1) + 1
-        self.open.add((request, attempt))
-        fault = self.bad.get(member) or (self.bad.get(source) if self.random.random() < 0.7 else "")
+        self.open_attempts.add((request, attempt))
+        fault = self.faults.get(member) or (self.faults.get(source) if self.random.random() < 0.7 else "")
         elapsed = 30.0 + 400.0 * self.random.random()
         if not fault:
             status = self.random.choice([1, 1, 1, 2, 3, 4, 5, 0])
@@ -134,83 +134,83 @@
             outcome = {"hung": 3, "errors": 1, "refuses": 2, "down": 4, "resets": 5, "slow": 0}[fault]
             status = self.random.choice([6, 7, 9, 10, 0]) if outcome in (1, 2) else 0
             elapsed = {"hung": 3000.0, "slow": 1500.0}.get(fault, elapsed / 10)
-        self.later(elapsed, self.ended(request, attempt, member, outcome, elapsed, status))
+        self.schedule(elapsed, self.ended(request, attempt, member, outcome, elapsed, status))
 
     def step(self) -> None:
-        """One moment: what is due, a request or two, and now and then a change."""
+        """Advance the time; handle due events, new requests and occasional changes."""
         self.now += self.random.choice([1.0, 10.0, 20.0, 40.0, 90.0])
         events: list[i.Event] = []
         while self.queue and self.queue[0][0] <= self.now:
             event = heapq.heappop(self.queue)[2]
             if isinstance(event, i.AttemptEnded):
                 key = (event.request, event.attempt)
-                if key not in self.open:
+                if key not in self.open_attempts:
                     continue
-                self.open.discard(key)
+                self.open_attempts.discard(key)
             events.append(event)
         events += [self.request() for _ in range(self.random.choice([0, 1, 1, 1, 2, 6]))]
         if self.random.random() < 0.05:
             events.append(self.change())
-        if self.random.random() < 0.03 and self.open:
-            request, attempt = self.random.choice(sorted(self.open))
-            gone: list[i.Event] = [i.ClientDisconnected(request), i.AttemptStarted(request, attempt, 0)]
-            events.append(self.random.choice(gone))
+        if self.random.random() < 0.03 and self.open_attempts:
+            request, attempt = self.random.choice(sorted(self.open_attempts))
+            choices: list[i.Event] = [i.ClientDisconnected(request), i.AttemptStarted(request, attempt, 0)]
+            events.append(self.random.choice(choices))
         self.handle(events)
 
     def request(self) -> i.Request:
-        """A request of any class; some tell no size, some were tried before, some have a local copy."""
-        self.number += 1
-        draw = self.random
-        cls = draw.choice([SAFE, SAFE, SAFE, FRESH, FRESH, KEYED, WRITE, KEYED_ALL])
-        object_id = int(draw.paretovariate(0.6)) % 400 + 1
-        size = draw.choice([0.0, 40.0, 300.0, 1500.0, 4000.0])
-        deadline = self.now + draw.choice([900.0, 3000.0, 5000.0])
-        local = (draw.choice([100.0, 5000.0, 9000.0]), draw.choice([0.0, 300.0]))
-        has_copy = self.settings.has_local_cache and draw.random() < 0.3
-        earlier = (self.now - 300.0, draw.choice([11, 12, 99])) if draw.random() < 0.1 else (0.0, 0)
+        """A request of any class; some have no size, an earlier attempt or a local copy."""
+        self.last_id += 1
+        random = self.random
+        cls = random.choice([SAFE, SAFE, SAFE, FRESH, FRESH, KEYED, WRITE, KEYED_ALL])
+        object_id = int(random.paretovariate(0.6)) % 400 + 1
+        size = random.choice([0.0, 40.0, 300.0, 1500.0, 4000.0])
+        deadline = self.now + random.choice([900.0, 3000.0, 5000.0])
+        local = (random.choice([100.0, 5000.0, 9000.0]), random.choice([0.0, 300.0]))
+        has_copy = self.settings.has_local_cache and random.random() < 0.3
+        earlier = (self.now - 300.0, random.choice([11, 12, 99])) if random.random() < 0.1 else (0.0, 0)
         return i.Request(
-            *(self.number, cls, object_id, deadline, size, object_id % 5, draw.randrange(2), 0, False),
+            *(self.last_id, cls, object_id, deadline, size, object_id % 5, random.randrange(2), 0, False),
             *(cls == WRITE, *(local if has_copy else (-1.0, 0.0)), *earlier),
         )
 
     def change(self) -> i.Event:
-        """A fault, a recovery, a list event or a purge."""
+        """Start or end a fault, or return a list event or a purge."""
         kind = self.random.randrange(8)
         member = self.random.choice((*CACHES, *PARENTS, *ORIGINS))
         if kind < 2:
-            self.bad[member] = self.random.choice(["hung", "errors", "refuses", "down", "resets", "slow"])
+            self.faults[member] = self.random.choice(["hung", "errors", "refuses", "down", "resets", "slow"])
         elif kind < 4:
-            self.bad.clear()
+            self.faults.clear()
         elif kind == 4:
             return i.MemberList(
                 i.ListKind(1), (self.member(member, self.random.choice([0, 1, 1, 2]), self.now),)
             )
         elif kind == 5:
-            everybody = tuple(self.member(id_) for id_ in (*CACHES, *PARENTS, *ORIGINS))
-            return i.MemberList(i.ListKind(self.random.choice([0, 0, 2, 3])), everybody)
+            full_members = tuple(self.member(id_) for id_ in (*CACHES, *PARENTS, *ORIGINS))
+            return i.MemberList(i.ListKind(self.random.choice([0, 0, 2, 3])), full_members)
         return i.Purged(self.random.choice([0, 1, 2, 3]), self.random.randrange(5), 200.0)
 
     def run(self) -> None:
-        """Play all steps; halfway the settings change as at a reload."""
-        everybody = tuple(self.member(id_) for id_ in (*CACHES, *PARENTS, *ORIGINS))
-        self.handle([i.MemberList(i.ListKind(0), everybody)])
-        for number in range(STEPS):
-            if number == STEPS // 2:
+        """Run all steps; halfway the settings change as in a reload."""
+        full_members = tuple(self.member(id_) for id_ in (*CACHES, *PARENTS, *ORIGINS))
+        self.handle([i.MemberList(i.ListKind(0), full_members)])
+        for step in range(STEPS):
+            if step == STEPS // 2:
                 self.router.apply_settings(deployments()[0])
-            elif number == STEPS * 3 // 4:
+            elif step == STEPS * 3 // 4:
                 self.router.settings = self.settings
             self.step()
 
 
-def test_the_same_events_lead_to_the_same_actions_as_before() -> None:
-    whole = hashlib.sha256()
+def test_same_events_lead_to_recorded_actions() -> None:
+    total_digest = hashlib.sha256()
     counts = dict.fromkeys(range(len(ACTION_TYPES)), 0)
     for settings in deployments():
         for seed in (1, 2):
-            world = World(settings, seed)
-            world.run()
-            whole.update(world.digest.digest())
-            for kind, count in world.counts.items():
+            simulation = Simulation(settings, seed)
+            simulation.run()
+            total_digest.update(simulation.digest.digest())
+            for kind, count in simulation.counts.items():
                 counts[kind] += count
     assert all(counts.values()), counts  # every type of action occurs
-    assert whole.hexdigest()[:16] == EXPECTED
+    assert total_digest.hexdigest()[:16] == EXPECTED
--- a/tests/test_ejections.py
+++ b/tests/test_ejections.py
@@ -21,7 +21,7 @@
         (4, 3, True, True),  # parents can stand in
     ],
 )
-def test_a_cache_is_ejected_by_failures_in_a_row_while_most_others_are_healthy(
+def test_consecutive_failures_eject_cache_while_most_others_are_healthy(
     failures: int, failing_neighbours: int, origin_direct: bool, ejected: bool
 ) -> None:
     table = parts.endpoint_table(allows_origin_direct=origin_direct)
@@ -47,7 +47,7 @@
         ((20.0, 5.0), (40.0, 0.0), "none", True),  # diluted by hits, which also count for a parent
     ],
 )
-def test_a_parent_is_ejected_when_its_failed_share_stands_out(
+def test_parent_is_ejected_if_its_failed_share_is_outlier(
     own: tuple[float, float], peers: tuple[float, float], reports: str, ejected: bool
 ) -> None:
     table = parts.endpoint_table(reports_fill_source=reports)
@@ -60,7 +60,7 @@
     assert outliers.is_ejected(parent, 100.0) == ejected and outliers.fill_count == 1.0
 
 
-def test_the_origin_is_never_an_outlier_but_the_last_parent_is_compared_with_it() -> None:
+def test_origin_is_never_ejected_and_last_parent_is_compared_with_it() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     origin, (last, *others) = table.by_id[h.ORIGIN], table.parents
@@ -79,7 +79,7 @@
     ("ejections", "draw", "expected_ms"),
     [(0, 0.5, 2500.0), (1, 0.5, 5000.0), (2, 0.5, od.MAX_EJECTION_MS), (0, 0.0, 1500.0), (9, 0.0, 8000.0)],
 )
-def test_an_ejection_doubles_up_to_a_bound(ejections: int, draw: float, expected_ms: float) -> None:
+def test_ejection_time_doubles_up_to_maximum(ejections: int, draw: float, expected_ms: float) -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table, draw)
     health = table.caches[0].health
@@ -89,7 +89,7 @@
     assert (health.ejections, health.consecutive_failures, health.failures) == (ejections + 1, 0, 0.0)
 
 
-def test_trials_are_a_trickle_and_two_timely_answers_end_the_ejection() -> None:
+def test_trials_are_rare_and_two_timely_answers_end_ejection() -> None:
     table = parts.endpoint_table()
     outliers, actions = parts.detector(table)
     cache = table.caches[0]
@@ -108,7 +108,7 @@
     assert len(actions) == 1, "the second line comes too soon after the first"
 
 
-def test_a_failed_trial_ejects_again_and_a_late_failure_does_not() -> None:
+def test_failed_trial_ejects_again_but_late_failure_does_not() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     cache = table.caches[0]
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("failing", "ejected", "expected"), [(4, 0, True), (2, 2, True), (3, 0, False)])
-def test_a_location_is_lost_when_each_cache_is_ejected_or_only_fails(
+def test_location_is_down_if_each_cache_is_ejected_or_only_fails(
     failing: int, ejected: int, expected: bool
 ) -> None:
     table = parts.endpoint_table()
@@ -132,7 +132,7 @@
     assert outliers.is_location_down(100.0) == expected
 
 
-def test_an_attempt_is_likely_lost_at_an_ejected_endpoint_or_source() -> None:
+def test_attempt_is_likely_lost_at_ejected_endpoint_or_source() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     attempt = parts.attempt_state(table.caches[0], table.parents[0])
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -17,7 +17,7 @@
     return [endpoint.id for endpoint in ranking.members]
 
 
-def test_each_tier_has_a_ranking_of_its_ready_endpoints() -> None:
+def test_each_tier_has_ranking_of_its_ready_endpoints() -> None:
     table = parts.endpoint_table()
     assert ids(table.cache_ranking) == list(h.CACHES)
     assert ids(table.parent_ranking) == list(h.PARENTS)
@@ -37,13 +37,13 @@
         (h.delta(i.Member(15, zone=1)), set(h.CACHES)),
     ],
 )
-def test_a_list_event_leaves_these_caches(event: i.MemberList, left: set[int]) -> None:
+def test_caches_after_list_event(event: i.MemberList, left: set[int]) -> None:
     table = parts.endpoint_table()
     table.apply(event, 10.0, 0.0)
     assert set(ids(table.cache_ranking)) == left
 
 
-def test_a_restarted_endpoint_forgets_what_the_process_before_it_did() -> None:
+def test_restarted_endpoint_discards_state_of_previous_process() -> None:
     table = parts.endpoint_table()
     cache = table.by_id[11]
     cache.health.ejections, cache.health.consecutive_failures, cache.health.failures = 2, 3, 4.0
@@ -58,7 +58,7 @@
     assert cache.load.reported is None and cache.weight == 1.0
 
 
-def test_a_start_in_the_future_counts_as_now() -> None:
+def test_start_in_future_counts_as_now() -> None:
     table = parts.endpoint_table()
     table.apply(h.delta(h.member(11, started_ms=9e9)), 500.0, 0.0)
     assert table.by_id[11].slow_start.started_ms == 500.0
@@ -73,12 +73,12 @@
         (i.Member(15, zone=9), 4, 0.15),  # an unknown zone
     ],
 )
-def test_a_new_endpoint_has_the_slow_start_of_its_tier(member: i.Member, routers: int, share: float) -> None:
+def test_new_endpoint_has_slow_start_of_its_tier(member: i.Member, routers: int, share: float) -> None:
     slow_start = parts.endpoint_table().new_endpoint(member, 0.0, 0.0).slow_start
     assert (slow_start.router_count, slow_start.config.initial_capacity_share) == (routers, share)
 
 
-def test_new_settings_change_the_number_of_routers_and_the_tiers() -> None:
+def test_new_settings_change_router_count_and_tiers() -> None:
     table = parts.endpoint_table()
     cache = table.by_id[11]
     table.apply_settings(h.settings(routers_by_zone=(7, 2, 0), zone=2), 10.0, 0.0)
@@ -87,9 +87,7 @@
 
 
 @pytest.mark.parametrize(("weight", "expected"), [(1.2, 1.2), (9.0, MAX_WEIGHT), (0.0, 1 / MAX_WEIGHT)])
-def test_a_weight_has_bounds_and_the_share_follows_the_root_of_the_capacity(
-    weight: float, expected: float
-) -> None:
+def test_weight_is_bounded_and_share_follows_root_of_capacity(weight: float, expected: float) -> None:
     cache = parts.endpoint_table().by_id[11]
     cache.set_weight(weight)
     assert cache.weight == expected and cache.share == pytest.approx(expected * 10.0**0.5)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,8 +42,8 @@
 
     def __init__(self, count: int = ROUTERS, **changes: object) -> None:
         zones = tuple(len(range(z, count, ZONES)) for z in range(ZONES))
-        made = {"router_count": count, "routers_by_zone": zones, "reports_fill_source": "all"} | changes
-        self.routers = [Router(h.settings(router_index=n, zone=n % ZONES, **made), n) for n in range(count)]
+        values = {"router_count": count, "routers_by_zone": zones, "reports_fill_source": "all"} | changes
+        self.routers = [Router(h.settings(router_index=n, zone=n % ZONES, **values), n) for n in range(count)]
         self.now = 0.0
         self.number = 0
         self.sent: list[list[Sent]] = [[] for _ in range(count)]
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 40])
-def test_a_cold_parents_budget_is_kept_by_all_together_and_used(count: int) -> None:
+def test_all_routers_keep_slow_start_budget_of_parent_and_use_it(count: int) -> None:
     fleet = Fleet(count)
     fleet.run(2000.0)
     born = fleet.now
@@ -138,7 +138,7 @@
     assert len(second) >= min(wanted, count * 12.5 * 6 * 0.3)
 
 
-def test_more_routers_share_a_cold_parent_as_it_warms() -> None:
+def test_more_routers_use_parent_as_it_warms_up() -> None:
     fleet = Fleet()
     fleet.run(1_000.0)
     fleet.tell(h.delta(member(24, started_ms=fleet.now)))
@@ -151,38 +151,38 @@
     assert using(8_000.0) >= 5
 
 
-def test_a_fills_time_is_not_taken_off_a_cold_members_budget() -> None:
-    made = h.router(reports_fill_source="all")
+def test_fill_time_is_not_charged_to_slow_start_budget() -> None:
+    router = h.router(reports_fill_source="all")
     for n in range(200):
-        fetch = h.fetches(made.handle(n * 50.0, [h.request(n, n + 1, now=n * 50.0, size_kb=0.0)]))[0]
+        fetch = h.fetches(router.handle(n * 50.0, [h.request(n, n + 1, now=n * 50.0, size_kb=0.0)]))[0]
         took, note = ((100.0, i.CacheStatus.HIT), (900.0, i.CacheStatus.FILLED))[n % 2]
-        made.handle(
+        router.handle(
             n * 50.0,
             [h.attempt_ended(fetch, i.Outcome.OK, elapsed_ms=took, is_final=True, cache_status=note)],
         )
-    made.handle(10_000.0, [h.delta(h.member(h.PARENTS[0], started_ms=4_000.0))])
-    cold = made.endpoints.by_id[h.PARENTS[0]]
+    router.handle(10_000.0, [h.delta(h.member(h.PARENTS[0], started_ms=4_000.0))])
+    cold = router.endpoints.by_id[h.PARENTS[0]]
     for n in range(300, 400):
-        before = cold.slow_start.refill(10_000.0 + n, made.settings.overload_window_ms)
-        fetch = h.fetches(made.handle(10_000.0 + n, [h.request(n, n, now=10_000.0 + n, size_kb=0.0)]))[0]
-        made.handle(10_000.0 + n, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, elapsed_ms=0.0)])
+        before = cold.slow_start.refill(10_000.0 + n, router.settings.overload_window_ms)
+        fetch = h.fetches(router.handle(10_000.0 + n, [h.request(n, n, now=10_000.0 + n, size_kb=0.0)]))[0]
+        router.handle(10_000.0 + n, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, elapsed_ms=0.0)])
         if fetch.source == cold.id:
             assert before - cold.slow_start.tokens_ms == pytest.approx(100.0, abs=15.0)
             return
     raise AssertionError("the cold parent is never used")
 
 
-def test_a_class_without_hits_is_not_held_to_the_first_guess() -> None:
+def test_class_without_hits_uses_mean_of_all_answers() -> None:
     """Acks run at the origin and are told as filled by it: there is never a hit to learn from."""
-    made = h.router(reports_fill_source="all")
+    router = h.router(reports_fill_source="all")
     for n in range(20):
-        fetch = h.fetches(made.handle(n * 50.0, [h.request(n, n + 1, h.UNSAFE, n * 50.0, size_kb=0.0)]))[0]
+        fetch = h.fetches(router.handle(n * 50.0, [h.request(n, n + 1, h.UNSAFE, n * 50.0, size_kb=0.0)]))[0]
         note = i.CacheStatus.FILLED_FROM_ORIGIN
-        made.handle(
+        router.handle(
             n * 50.0,
             [h.attempt_ended(fetch, i.Outcome.OK, elapsed_ms=60.0, is_final=True, cache_status=note)],
         )
-    assert made.transfer_times.transfer_ms[h.UNSAFE] == pytest.approx(60.0)
+    assert router.transfer_times.transfer_ms[h.UNSAFE] == pytest.approx(60.0)
 
 
 def room(known: i.Settings, at: float, since: float) -> float:
@@ -193,7 +193,7 @@
     return known.overload_multiple * 10.0 * warm * known.overload_window_ms / WORK_MS
 
 
-def test_six_in_ten_caches_replaced_in_one_event_or_in_twenty() -> None:
+def test_60_percent_of_caches_replaced_in_one_or_twenty_events() -> None:
     for steps in (1, 20):
         fleet = Fleet()
         fleet.run(1000.0)
@@ -225,12 +225,12 @@
     return round(fullest(times, span, lambda at: 1.0)) if times else 0
 
 
-def test_trials_of_a_member_out_of_use_are_a_trickle_until_it_is_back() -> None:
+def test_trials_of_ejected_member_are_rare_until_it_recovers() -> None:
     fleet = Fleet()
     bad = h.PARENTS[0]
     fleet.fates[bad] = (i.Outcome.ERROR, i.CacheStatus.SOURCE_FAILED)
     fleet.run(6_000.0)
-    assert all(h.is_ejected(made, made.endpoints.by_id[bad]) for made in fleet.routers)
+    assert all(h.is_ejected(router, router.endpoints.by_id[bad]) for router in fleet.routers)
     fleet.run(20_000.0)
     trials = [at for at in fleet.to(bad) if at > 8_000.0]
     assert 0 < together(trials, 1_000.0) <= ROUTERS * 4
@@ -238,10 +238,10 @@
     assert max(b - a for a, b in zip(trials, trials[1:], strict=False)) < 4_000.0
     del fleet.fates[bad]
     fleet.run(40_000.0)
-    assert not any(h.is_ejected(made, made.endpoints.by_id[bad]) for made in fleet.routers)
+    assert not any(h.is_ejected(router, router.endpoints.by_id[bad]) for router in fleet.routers)
 
 
-def test_what_all_do_after_the_same_news_is_spread() -> None:
+def test_reactions_to_same_event_are_spread() -> None:
     fleet = Fleet()
     fleet.run(500.0)
     ids = [c for z in range(ZONES) for c in caches(z)]
@@ -264,26 +264,26 @@
 
 
 @pytest.mark.parametrize("outcome", [i.Outcome.CONNECT_FAILED, i.Outcome.RESET, i.Outcome.TIMEOUT])
-def test_a_cache_that_fails_is_judged_alone(outcome: i.Outcome) -> None:
+def test_failing_cache_is_ejected_alone(outcome: i.Outcome) -> None:
     """Full and refusing connections, resetting, or taking and saying nothing."""
     fleet = Fleet()
     bad = caches(0)[1]
     fleet.fates[bad] = (outcome, i.CacheStatus.UNKNOWN)
     fleet.run(8_000.0)
-    for made in fleet.routers:
-        assert {p.id for p in made.endpoints.caches if h.is_ejected(made, p)} <= {bad}
+    for router in fleet.routers:
+        assert {p.id for p in router.endpoints.caches if h.is_ejected(router, p)} <= {bad}
     assert all(
-        h.is_ejected(made, made.endpoints.by_id[bad])
-        for made in fleet.routers
-        if bad in made.endpoints.by_id and made.endpoints.caches[0].member.zone == 0
+        h.is_ejected(router, router.endpoints.by_id[bad])
+        for router in fleet.routers
+        if bad in router.endpoints.by_id and router.endpoints.caches[0].member.zone == 0
     )
     del fleet.fates[bad]
     fleet.run(40_000.0)
-    assert not any(h.is_ejected(made, p) for made in fleet.routers for p in made.endpoints.caches)
+    assert not any(h.is_ejected(router, p) for router in fleet.routers for p in router.endpoints.caches)
 
 
 @pytest.mark.parametrize("outcome", [i.Outcome.CONNECT_FAILED, i.Outcome.RESET, i.Outcome.TIMEOUT])
-def test_an_ack_never_runs_again_whatever_befalls_the_fleet(outcome: i.Outcome) -> None:
+def test_unsafe_request_never_runs_twice_during_faults(outcome: i.Outcome) -> None:
     fleet = Fleet()
     fleet.run(1_000.0)
     first = {id(s): len(s) for s in fleet.sent}
@@ -305,7 +305,7 @@
             assert not ran or ran[0] == len(tries) - 1, "sent again after it may have run"
 
 
-def test_a_member_listed_gone_and_listed_again_is_used_again() -> None:
+def test_member_that_returns_to_list_is_used_again() -> None:
     fleet = Fleet()
     fleet.run(1_000.0)
     parent = h.PARENTS[1]
@@ -319,7 +319,7 @@
     assert [at for at in fleet.to(parent) if at > back]
 
 
-def test_a_purge_of_everything_binds_at_all_from_the_same_moment() -> None:
+def test_purge_of_everything_applies_at_all_routers_immediately() -> None:
     fleet = Fleet()
     fleet.run(1_000.0, objects=50)
     at = fleet.now
@@ -330,7 +330,7 @@
     assert all(0.0 < f.max_age_ms <= t - at + 200.0 and not f.coalesce for t, f in after)
 
 
-def test_an_origin_that_stops_is_not_asked_again_by_forty_saved_up_budgets() -> None:
+def test_failed_origin_gets_no_retries_from_any_router() -> None:
     fleet = Fleet()
     fleet.run(3_000.0)
     at = fleet.now
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -24,7 +24,7 @@
         (("cpu_share",), (math.inf,), None),
     ],
 )
-def test_a_first_report_is_the_load_if_it_can_be_used(
+def test_first_valid_report_sets_load(
     fields: tuple[str, ...], report: tuple[float, ...], expected: float | None
 ) -> None:
     table = parts.endpoint_table()
@@ -40,7 +40,7 @@
     assert table.by_id[11].load.reported == pytest.approx(0.25)
 
 
-def test_weights_move_at_most_once_a_second_from_busy_to_idle_caches() -> None:
+def test_weights_shift_to_idle_caches_at_most_once_per_second() -> None:
     table = parts.endpoint_table()
     reports = LoadReports(table, ("cpu_share",))
     for cache, load in ((11, 0.9), (12, 0.1)):
@@ -53,7 +53,7 @@
     assert [table.by_id[cache].weight for cache in (11, 12, 13)] == weights
 
 
-def test_a_cache_in_slow_start_is_not_compared() -> None:
+def test_cache_in_slow_start_is_not_compared() -> None:
     table = parts.endpoint_table()
     reports = LoadReports(table, ("cpu_share",))
     table.by_id[12].slow_start.started_ms = 500.0
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -24,7 +24,7 @@
         ([(5, 0, 10.0, 0.0), (6, 0, 10.0, 61_000.0), (5, 0, 10.0, 61_001.0)], FIRST),  # forgotten since
     ],
 )
-def test_the_last_of_these_requests_has_this_priority(
+def test_priority_of_last_request(
     requests: list[tuple[int, int, float, float]], expected: Popularity
 ) -> None:
     ranker = PopularityRanker()
@@ -32,13 +32,13 @@
     assert found[-1] == expected
 
 
-def test_a_write_is_not_retained_but_remembered() -> None:
+def test_write_is_not_retained_but_recorded() -> None:
     ranker = PopularityRanker()
     assert ranker.rank(5, 0, 10.0, True, 0.0) == Popularity(popularity.NOT_RETAINED, False)
     assert ranker.rank(5, 0, 10.0, False, 10.0).retention_priority != popularity.PRIORITY_FIRST_REQUEST
 
 
-def test_a_quarter_of_the_repeats_gets_the_highest_priority() -> None:
+def test_quarter_of_repeated_requests_gets_highest_priority() -> None:
     ranker = PopularityRanker()
     now, top = 0.0, 0
     for n in range(8000):
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Generated event sequences, fed straight to the module: rules 1, 2, 3 and 5 hold in its actions."""
+"""Generated event sequences for one router: its actions keep rules 1, 2, 3 and 5."""
 
 from __future__ import annotations
 
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -31,7 +31,7 @@
         (h.SAFE, 0, False, 9_000.0, FreshnessBound(0.0, True)),  # settled
     ],
 )
-def test_the_bound_follows_the_class_the_attempts_and_the_last_purge(
+def test_age_bound_follows_class_attempts_and_last_purge(
     cls: int, attempts: int, withholds_fill: bool, purged_ms: float | None, expected: FreshnessBound
 ) -> None:
     log, now = PurgeLog(), 20_000.0
@@ -55,7 +55,7 @@
         (Purged(5, 0, math.inf), 5, 1, -math.inf),
     ],
 )
-def test_a_purge_binds_its_object_or_its_group(
+def test_purge_applies_to_its_object_or_group(
     event: Purged, object_id: int, group: int, expected: float
 ) -> None:
     log = PurgeLog()
@@ -63,14 +63,14 @@
     assert log.last_purge_ms(object_id, group) == expected
 
 
-def test_an_older_purge_of_the_same_object_does_not_replace_a_newer_one() -> None:
+def test_older_purge_does_not_replace_newer_one() -> None:
     log = PurgeLog()
     log.record(Purged(5, 0, 0.0), 1000.0, SETTLE_MS)
     log.record(Purged(5, 0, 900.0), 1500.0, SETTLE_MS)
     assert log.last_purge_ms(5, 0) == 1000.0
 
 
-def test_a_purge_dropped_from_a_full_log_binds_every_object(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_purge_dropped_from_full_log_applies_to_every_object(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(purges, "MAX_PURGES", 2)
     log = PurgeLog()
     for object_id in (1, 2, 3):
@@ -79,7 +79,7 @@
     assert log.last_purge_ms(9, 9) == 1001.0
 
 
-def test_a_settled_purge_is_dropped_and_binds_nothing() -> None:
+def test_settled_purge_is_dropped_without_effect() -> None:
     log = PurgeLog()
     log.record(Purged(1, 0, 0.0), 1000.0, SETTLE_MS)
     log.record(Purged(2, 0, 0.0), 1001.0 + SETTLE_MS + purges.PURGE_MARGIN_MS, SETTLE_MS)
@@ -97,7 +97,7 @@
         (300.0, 0.0, 19_500.0, True),
     ],
 )
-def test_the_routers_own_copy_is_served_while_fresh_and_its_link_free(
+def test_local_copy_is_served_while_fresh_and_link_is_idle(
     age_ms: float, wait_ms: float, purged_ms: float | None, allowed: bool
 ) -> None:
     log = PurgeLog()
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -106,9 +106,9 @@
 
     def upgrade(self, n: int, news: i.Event) -> None:
         """A second process beside it: each is told that they share the budget."""
-        made = self.new(n, process_count=2)
-        self.routers[n].apply_settings(made.settings)
-        self.routers.append(made)
+        router = self.new(n, process_count=2)
+        self.routers[n].apply_settings(router.settings)
+        self.routers.append(router)
         self.busy.append(self.busy[n])
         self.handle(len(self.routers) - 1, h.full_list(), news)
 
@@ -156,9 +156,7 @@
 @pytest.mark.parametrize("story", STORIES)
 @pytest.mark.parametrize("kind", ["cache", "parent"])
 @pytest.mark.parametrize("routers", COUNTS)
-def test_all_together_keep_a_cold_members_budget_and_use_some_of_it(
-    routers: int, kind: str, story: str
-) -> None:
+def test_all_routers_keep_slow_start_budget_and_use_it(routers: int, kind: str, story: str) -> None:
     play = Location(routers)
     known = play.routers[0].settings
     play.run(500.0, 200.0)
@@ -196,7 +194,7 @@
 
 
 @pytest.mark.parametrize("routers", COUNTS)
-def test_a_cache_that_dies_and_returns_before_the_list_tells_is_not_pushed_over(routers: int) -> None:
+def test_cache_that_recovers_before_list_event_is_not_overloaded(routers: int) -> None:
     """Refused connections say that it will be a cold one; the list tells of its start a second after that.
 
     N counts from its return. A router that has not asked meanwhile knows nothing of it before the list tells;
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""limits/retries.py: what may be sent again, when, and how often in all."""
+"""Client retries: which requests may be retried, when, and how often in total."""
 
 from __future__ import annotations
 
@@ -8,43 +8,52 @@
 
 from lupintack.limits.retries import ClientAttemptResult, RetryBudget, RetryTerms
 
-LATER = 10_000_000
+DEADLINE_US = 10_000_000
 
 
-@pytest.mark.parametrize("end", list(ClientAttemptResult))
+@pytest.mark.parametrize("result", list(ClientAttemptResult))
 @pytest.mark.parametrize("safe", [True, False])
-def test_what_may_be_sent_again(end: ClientAttemptResult, safe: bool) -> None:
-    allowed = RetryBudget().next_attempt_us(end, safe, 1, 0, 0, LATER, 0.0) is not None
-    harmless = end in (ClientAttemptResult.REJECTED, ClientAttemptResult.NOT_PROCESSED)
+def test_which_results_allow_retry(result: ClientAttemptResult, safe: bool) -> None:
+    allowed = RetryBudget().next_attempt_us(result, safe, 1, 0, 0, DEADLINE_US, 0.0) is not None
+    harmless = result in (ClientAttemptResult.REJECTED, ClientAttemptResult.NOT_PROCESSED)
     assert allowed == (
-        harmless or (safe and end in (ClientAttemptResult.FAILED, ClientAttemptResult.UNKNOWN))
+        harmless or (safe and result in (ClientAttemptResult.FAILED, ClientAttemptResult.UNKNOWN))
     )
 
 
-def test_waits_are_the_routers_or_double_and_have_jitter() -> None:
+def test_wait_is_retry_after_or_exponential_with_jitter() -> None:
     retries = RetryBudget()
-    assert retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, 400_000, 0, LATER, 0.0) == 400_000
-    assert retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, 400_000, 0, LATER, 0.5) == 500_000
-    assert retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 1, 0, 0, LATER, 0.0) == 50_000
-    assert retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 3, 0, 0, LATER, 0.0) == 200_000
-    assert retries.next_attempt_us(ClientAttemptResult.NOT_PROCESSED, False, 1, 0, 7, LATER, 0.9) == 7
+    assert (
+        retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, 400_000, 0, DEADLINE_US, 0.0)
+        == 400_000
+    )
+    assert (
+        retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, 400_000, 0, DEADLINE_US, 0.5)
+        == 500_000
+    )
+    assert retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 1, 0, 0, DEADLINE_US, 0.0) == 50_000
+    assert retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 3, 0, 0, DEADLINE_US, 0.0) == 200_000
+    assert retries.next_attempt_us(ClientAttemptResult.NOT_PROCESSED, False, 1, 0, 7, DEADLINE_US, 0.9) == 7
 
 
-def test_no_try_over_the_number_or_with_no_time_left() -> None:
+def test_no_retry_beyond_maximum_or_deadline() -> None:
     retries = RetryBudget(RetryTerms(tries=2))
-    assert retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 2, 0, 0, LATER, 0.0) is None
-    assert retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, LATER, 0, LATER, 0.0) is None
+    assert retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 2, 0, 0, DEADLINE_US, 0.0) is None
+    assert (
+        retries.next_attempt_us(ClientAttemptResult.REJECTED, True, 1, DEADLINE_US, 0, DEADLINE_US, 0.0)
+        is None
+    )
 
 
-def test_the_budget_is_a_share_of_first_tries() -> None:
+def test_budget_is_share_of_first_attempts() -> None:
     retries = RetryBudget(RetryTerms(share=0.2, saved=10))
-    given_out = 0
+    granted = 0
     for _ in range(1000):
         retries.on_first_attempt()
-        given_out += (
-            retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 1, 0, 0, LATER, 0.0) is not None
+        granted += (
+            retries.next_attempt_us(ClientAttemptResult.UNKNOWN, True, 1, 0, 0, DEADLINE_US, 0.0) is not None
         )
-    assert 200 <= given_out <= 210 and retries.withheld == 1000 - given_out
+    assert 200 <= granted <= 210 and retries.withheld == 1000 - granted
 
 
 @given(
@@ -54,13 +63,13 @@
         )
     )
 )
-def test_no_write_after_an_unknown_end_and_no_time_before_now(
+def test_unsafe_request_is_not_retried_after_unknown_result(
     steps: list[tuple[ClientAttemptResult, bool, int, float]],
 ) -> None:
     retries = RetryBudget()
-    for end, safe, tries, chance in steps:
-        at = retries.next_attempt_us(end, safe, tries, 0, 100, LATER, chance)
-        if at is not None:
-            assert 100 <= at < LATER and tries < retries.terms.tries
-            assert safe or end in (ClientAttemptResult.REJECTED, ClientAttemptResult.NOT_PROCESSED)
+    for result, safe, tries, draw in steps:
+        attempt_us = retries.next_attempt_us(result, safe, tries, 0, 100, DEADLINE_US, draw)
+        if attempt_us is not None:
+            assert 100 <= attempt_us < DEADLINE_US and tries < retries.terms.tries
+            assert safe or result in (ClientAttemptResult.REJECTED, ClientAttemptResult.NOT_PROCESSED)
         assert 0 <= retries.saved_millionths <= retries.terms.saved * 1_000_000
--- a/tests/test_transfer_times.py
+++ b/tests/test_transfer_times.py
@@ -25,14 +25,12 @@
         (0.0, [300.0], 200.0),  # no rate is known
     ],
 )
-def test_the_last_of_these_requests_has_this_time(
-    kb_per_s: float, sizes: list[float], expected: float
-) -> None:
+def test_transfer_time_of_last_request(kb_per_s: float, sizes: list[float], expected: float) -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, kb_per_s)
     assert [times.estimate_ms(0, size) for size in sizes][-1] == pytest.approx(expected)
 
 
-def test_an_absurd_size_is_the_requests_own_time() -> None:
+def test_implausible_size_determines_its_own_time() -> None:
     assert TransferTimeEstimator(CONFIG, CLASSES, 1000.0).estimate_ms(0, 9e9) == 9e9
 
 
@@ -46,7 +44,7 @@
         ([(100.0, True)] * 4 + [(500.0, True)], 200.0, 200.0),  # the newest weighs a quarter at least
     ],
 )
-def test_means_of_answers_and_of_transfers_alone(
+def test_means_of_all_answers_and_of_transfers(
     samples: list[tuple[float, bool]], answer_ms: float, transfer_ms: float
 ) -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, 0.0)
@@ -56,7 +54,7 @@
     assert (times.answer_ms[1], times.transfer_ms[1]) == (300.0, 300.0), "another class"
 
 
-def test_a_class_that_keeps_its_name_and_index_keeps_its_means() -> None:
+def test_class_with_same_name_and_index_keeps_its_means() -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, 0.0)
     for index in (0, 1):
         times.record(index, 50.0, True)
