--- a/tests/test_attempt_planner.py
+++ b/tests/test_attempt_planner.py
@@ -1,4 +1,4 @@
-"""Where an attempt goes, and why it may not be sent, without a router."""
+"""Unit tests of the attempt planner: endpoint, source, and reasons for not sending an attempt."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Setup:
-    """A planner over the fleet of `helpers.full_list`, with the parts that it composes."""
+    """A planner for the members of `helpers.full_list`, with its components."""
 
     def __init__(self, **changes: Any) -> None:
         self.table = parts.endpoint_table(**changes)
@@ -105,7 +105,7 @@
     [
         (0, 0, 0, True),
         (1, 30, 1, True),  # the next cache is idle
-        (4, 30, 0, False),  # only a copy comes in time
+        (4, 30, 0, False),  # only a cached copy would be in time
         (4, 60, None, False),
     ],
 )
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -1,4 +1,4 @@
-"""Which part learns from which outcome."""
+"""Unit tests of the attribution of outcomes to caches, sources and limits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Setup:
-    """An attribution with the parts that it teaches, and one attempt at a cache with a parent."""
+    """An attribution with the components that it updates, and one attempt at a cache with a parent."""
 
     def __init__(self, **changes: Any) -> None:
         self.table = parts.endpoint_table(**changes)
@@ -161,7 +161,7 @@
     [
         ("all", False, 0.0, 0.0, 0),
         ("all", True, 0.0, 0.0, 1),
-        ("all", True, 150.0, 0.0, 0),  # it waited at its source
+        ("all", True, 150.0, 0.0, 0),  # waited at its source
         ("hit", True, 0.0, NOW_MS - 1.0, 1),
         ("hit", True, 0.0, NOW_MS, 0),
     ],
--- a/tests/test_ejections.py
+++ b/tests/test_ejections.py
@@ -1,4 +1,4 @@
-"""The outlier detector alone: ejections, trial requests and the way back."""
+"""Unit tests of the outlier detector: ejections, trial requests and recovery."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
         (3, 0, False, False),
         (4, 0, False, True),
         (4, 1, False, True),
-        (4, 2, False, False),  # no more than half of the three others are healthy
+        (4, 2, False, False),  # only one of the three others is healthy
         (4, 3, False, False),
-        (4, 3, True, True),  # parents can stand in
+        (4, 3, True, True),  # requests may be sent to parents directly
     ],
 )
 def test_consecutive_failures_eject_cache_while_most_others_are_healthy(
@@ -42,9 +42,9 @@
         ((0.0, 1.0), (0.0, 0.0), "hit", False),  # too few
         ((20.0, 2.0), (20.0, 0.0), "hit", False),
         ((6.0, 5.0), (20.0, 0.0), "hit", True),
-        ((6.0, 5.0), (6.0, 5.0), "hit", False),  # its peers fail alike
+        ((6.0, 5.0), (6.0, 5.0), "hit", False),  # its peers fail as often
         ((20.0, 5.0), (40.0, 0.0), "hit", False),
-        ((20.0, 5.0), (40.0, 0.0), "none", True),  # diluted by hits, which also count for a parent
+        ((20.0, 5.0), (40.0, 0.0), "none", True),  # lower margin, as unreported hits count as successes
     ],
 )
 def test_parent_is_ejected_if_its_failed_share_is_outlier(
@@ -93,19 +93,19 @@
     table = parts.endpoint_table()
     outliers, actions = parts.detector(table)
     cache = table.caches[0]
-    assert not outliers.claim_trial(cache, 50.0), "it is in use"
+    assert not outliers.claim_trial(cache, 50.0), "not ejected"
     outliers.eject(cache, "test", 100.0)
     assert not outliers.claim_trial(cache, 2599.0)
     assert outliers.claim_trial(cache, 2600.0) and not outliers.claim_trial(cache, 2999.0)
     assert outliers.claim_trial(cache, 3000.0)
     outliers.record_success(cache, parts.attempt_state(cache), 3100.0)
     outliers.record_success(cache, parts.attempt_state(cache, is_trial=True, is_overdue=True), 3100.0)
-    assert cache.health.trial_successes == 0, "neither a trial nor in time"
+    assert cache.health.trial_successes == 0, "neither a trial request nor in time"
     for _ in range(od.TRIAL_SUCCESSES_TO_RECOVER):
         assert outliers.is_ejected(cache, 3100.0)
         outliers.record_success(cache, parts.attempt_state(cache, is_trial=True), 3100.0)
     assert not outliers.is_ejected(cache, 3100.0)
-    assert len(actions) == 1, "the second line comes too soon after the first"
+    assert len(actions) == 1, "the second log line is suppressed by the interval"
 
 
 def test_failed_trial_ejects_again_but_late_failure_does_not() -> None:
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a table with a ranking for each tier."""
+"""Unit tests of the endpoint table and its ranking for each tier."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         (h.delta(h.member(11, state=1)), set(h.CACHES)),
         (i.MemberList(i.ListKind.FULL, (h.member(12), h.member(31))), {12}),
         (i.MemberList(i.ListKind.CACHED, (h.member(12), h.member(31))), {12}),
-        (h.delta(i.Member(11, zone=1)), {12, 13, 14}),  # it has moved to another zone
+        (h.delta(i.Member(11, zone=1)), {12, 13, 14}),  # moved to another zone
         (h.delta(i.Member(15, zone=1)), set(h.CACHES)),
     ],
 )
@@ -69,7 +69,7 @@
     [
         (h.member(11), 2, 0.15),  # caches of zone 0
         (h.member(21), 4, 0.08),  # parents serve all routers
-        (i.Member(15, zone=2), 1, 0.15),  # no router there: at least one
+        (i.Member(15, zone=2), 1, 0.15),  # no router in that zone: counts as one
         (i.Member(15, zone=9), 4, 0.15),  # an unknown zone
     ],
 )
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of caches and the weights that follow them."""
+"""Unit tests of load reports and of the weights derived from them."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert {cache.weight for cache in table.caches} == {1.0}
     reports.record(table.by_id[11], (0.9,), 1000.0)
     weights = [table.by_id[cache].weight for cache in (11, 12, 13)]
-    assert weights[0] < 1.0 < weights[1] and weights[2] == 1.0, "13 has not reported"
+    assert weights[0] < 1.0 < weights[1] and weights[2] == 1.0, "cache 13 has not reported"
     reports.record(table.by_id[11], (0.9,), 1999.0)
     assert [table.by_id[cache].weight for cache in (11, 12, 13)] == weights
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Symptoms, and whom they are held against."""
+"""Faults, and the endpoints that they are counted against, with a whole router."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 def drive(
     router: Router, outcome: dict[int, str], until: float = 6000.0, start: float = 0.0
 ) -> list[i.Fetch]:
-    """Requests every 20 ms; a member in outcome is "hung" or "errors", all others answer after 100 ms."""
+    """Send a request every 20 ms; members in `outcome` are "hung" or "errors", others answer after 100 ms."""
     sent: list[i.Fetch] = []
     queue: list[tuple[float, i.Event]] = []
     numbers: dict[int, int] = {}
     step = int(start / 20.0)
     while step * 20.0 < until:
         now = step * 20.0
-        events = [e for at, e in queue if at <= now]
-        queue = [(at, e) for at, e in queue if at > now]
+        events = [event for at, event in queue if at <= now]
+        queue = [(at, event) for at, event in queue if at > now]
         events.append(h.request(step, step % 97 + 1, now=now, size_kb=250.0))
         for action in router.handle(now, events):
             if isinstance(action, i.SetTimer):
@@ -35,11 +35,11 @@
                 if state == "errors":
                     queue.append((now + 20.0, h.attempt_ended(action, i.Outcome.ERROR, number)))
                 elif state == "ok":
-                    note = i.CacheStatus.HIT if hit else i.CacheStatus.FILLED
+                    status = i.CacheStatus.HIT if hit else i.CacheStatus.FILLED
                     queue.append(
                         (
                             now + 100.0,
-                            h.attempt_ended(action, i.Outcome.OK, number, is_final=True, cache_status=note),
+                            h.attempt_ended(action, i.Outcome.OK, number, is_final=True, cache_status=status),
                         )
                     )
         step += 1
@@ -86,12 +86,12 @@
 
 def test_overload_is_shed_immediately_and_large_requests_first() -> None:
     router = h.router()
-    refused: dict[float, int] = {}
+    first_rejected: dict[float, int] = {}
     for n in range(600):
         size = (3000.0, 300.0)[n % 2]
         if h.final_answers(router.handle(1.0, [h.request(n, 5, size_kb=size)])):
-            refused.setdefault(size, n)
-    assert refused[3000.0] < refused[300.0]
+            first_rejected.setdefault(size, n)
+    assert first_rejected[3000.0] < first_rejected[300.0]
 
 
 def test_without_hedging_second_attempt_follows_cancelled_one() -> None:
@@ -99,8 +99,8 @@
     actions = router.handle(0.0, [h.request(1)])
     router.outliers.eject(router.endpoints.by_id[h.fetches(actions)[0].member], "silent", router.now_ms)
     timer = next(a for a in actions if isinstance(a, i.SetTimer))
-    cut = router.handle(timer.at_ms + 2000.0, [i.TimerFired(timer.token)])
-    assert cut == [i.Cancel(1, 0)]
+    actions_after_timer = router.handle(timer.at_ms + 2000.0, [i.TimerFired(timer.token)])
+    assert actions_after_timer == [i.Cancel(1, 0)]
     first = h.fetches(actions)[0]
     again = h.fetches(router.handle(timer.at_ms + 2001.0, [h.attempt_ended(first, i.Outcome.CANCELLED)]))
     assert len(again) == 1
@@ -121,22 +121,24 @@
     router = h.router()
     sent = 0
     for n in range(400):
-        out = h.fetches(router.handle(n * 20.0, [h.request(n, n, now=n * 20.0)]))
+        open_fetches = h.fetches(router.handle(n * 20.0, [h.request(n, n, now=n * 20.0)]))
         number = 0
-        while out:
+        while open_fetches:
             sent += 1
-            out = h.fetches(router.handle(n * 20.0 + 5.0, [h.attempt_ended(out[0], i.Outcome.ERROR, number)]))
+            open_fetches = h.fetches(
+                router.handle(n * 20.0 + 5.0, [h.attempt_ended(open_fetches[0], i.Outcome.ERROR, number)])
+            )
             number += 1
     assert sent <= 400 * 1.2 + 20
 
 
 def test_busy_cache_redirects_to_one_cache_only_unless_fills_are_coalesced() -> None:
-    for joins in (True, False):
-        router = h.router(coalesces_fills=joins)
+    for coalesces in (True, False):
+        router = h.router(coalesces_fills=coalesces)
         sent: set[int] = set()
         for n in range(60):
             sent |= {f.member for f in h.fetches(router.handle(1.0, [h.request(n, 5, size_kb=3000.0)]))}
-        assert len(sent) > 2 if joins else len(sent) == 2
+        assert len(sent) > 2 if coalesces else len(sent) == 2
 
 
 def test_last_parent_is_ejected_if_it_fails_and_origin_does_not() -> None:
@@ -152,10 +154,10 @@
     for n in range(60):
         now = n * 50.0
         fetch = h.fetches(router.handle(now, [h.request(n, n + 1, now=now, size_kb=50.0)]))[0]
-        bad = fetch.source == 21
+        failed = fetch.source == 21
         router.handle(
             now + 10.0,
-            [h.attempt_ended(fetch, i.Outcome.REJECTED if bad else i.Outcome.OK, is_final=not bad)],
+            [h.attempt_ended(fetch, i.Outcome.REJECTED if failed else i.Outcome.OK, is_final=not failed)],
         )
     assert h.is_ejected(router, router.endpoints.by_id[21]) and not h.is_ejected(
         router, router.endpoints.by_id[22]
@@ -163,9 +165,9 @@
 
 
 def test_slow_answer_causes_no_second_attempt_at_low_request_rate() -> None:
-    """Danger: one of a hundred routers hears from a cache twice a second; taken for silence, all stampede."""
-    for copies in (True, False):
-        router = h.router(allows_hedging=copies, coalesces_fills=False)
+    """One of 100 routers gets two answers a second from a cache; a gap between them is no failure."""
+    for allows_hedging in (True, False):
+        router = h.router(allows_hedging=allows_hedging, coalesces_fills=False)
         first = router.handle(0.0, [h.request(1, size_kb=4000.0)])
         other = next(n for n in range(2, 99) if h.first_cache(n) == h.fetches(first)[0].member)
         second = h.fetches(router.handle(400.0, [h.request(2, other, now=400.0)]))[0]
@@ -176,7 +178,7 @@
 
 
 def test_short_burst_is_not_multiplied_by_router_count() -> None:
-    """With 40 routers in the location one moment's attempts say nothing of theirs; lasting ones do."""
+    """With 40 routers in the location, only sustained load is an estimate of the other routers'."""
     router = h.router(routers_by_zone=(40, 2, 0), coalesces_fills=False)
     assert not h.final_answers(router.handle(0.0, [h.request(n, 5, size_kb=3000.0) for n in range(3)]))
     later = h.fetches(router.handle(4000.0, [h.request(9, 5, now=4000.0, size_kb=3000.0)]))
@@ -184,13 +186,13 @@
 
 
 def fetches_after_timer(router: Router, actions: list[i.Action]) -> list[i.Fetch]:
-    """What is sent when the timer of the last attempt among the actions fires."""
+    """Return what is sent when the timer of the last attempt among the actions fires."""
     timer = [a for a in actions if isinstance(a, i.SetTimer)][-1]
     return h.fetches(router.handle(timer.at_ms, [i.TimerFired(timer.token)]))
 
 
 def answering_cache_setup(router: Router, load: float = 0.2) -> list[i.Action]:
-    """A request that stays out while its cache answers a later one."""
+    """Send a request that stays open while its cache answers a later one; return its actions."""
     first = list(router.handle(0.0, [h.request(1, 5)]))
     other = next(n for n in range(6, 99) if h.first_cache(n) == h.first_cache(5))
     later = h.fetches(router.handle(100.0, [h.request(2, other, now=100.0)]))[0]
@@ -206,7 +208,7 @@
 
 
 def test_lost_answer_is_requested_again_from_same_cache() -> None:
-    """Danger: lost answers of a cache that is otherwise well raised no doubt, and clients gave up."""
+    """Guards against not detecting lost answers of an otherwise healthy cache before clients give up."""
     router = h.router(load_report_fields=("cpu_share",))
     again = fetches_after_timer(router, answering_cache_setup(router))
     assert [f.member for f in again] == [h.first_cache(5)] and again[0].coalesce
@@ -222,25 +224,25 @@
 
 
 def test_if_fill_would_be_late_only_cached_copy_is_requested() -> None:
-    """Danger: under load a refusal turns away hits as well, which cost the crowded link nothing."""
+    """Rejecting requests under load would also reject hits, which put no load on the congested link."""
     router = h.router(coalesces_fills=False)
     kinds: list[str] = []
     for n in range(80):
         actions = router.handle(1.0, [h.request(n, 5, size_kb=1500.0)])
         for fetch in h.fetches(actions):
-            kinds.append("look" if fetch.source == fetch.member else "fill")
-            if kinds[-1] == "look":
+            kinds.append("only cached" if fetch.source == fetch.member else "fill")
+            if kinds[-1] == "only cached":
                 missed = router.handle(1.0, [h.attempt_ended(fetch, i.Outcome.MISS)])
                 assert h.final_answers(missed) and not h.fetches(missed)
-        kinds += ["refused"] * len(h.final_answers(actions))
-    assert kinds[0] == "fill" and "look" in kinds
-    late = h.router(coalesces_fills=False)
-    sent = [late.handle(1.0, [h.request(n, 5, size_kb=1500.0)]) for n in range(80)]
+        kinds += ["rejected"] * len(h.final_answers(actions))
+    assert kinds[0] == "fill" and "only cached" in kinds
+    other = h.router(coalesces_fills=False)
+    sent = [other.handle(1.0, [h.request(n, 5, size_kb=1500.0)]) for n in range(80)]
     assert h.final_answers(sent[-1]) and not h.final_answers(sent[0])
 
 
 def test_busy_cache_loses_few_objects_slowly() -> None:
-    """Danger: objects differ, so one cache may be five times as busy as its neighbour on a quiet day."""
+    """Objects differ, so one cache may be five times as busy as another even at low traffic."""
     router = h.router(load_report_fields=("busy_reqs", "cpu_share"))
     before = {o: router.endpoints.cache_ranking.ranked(o, 1)[0].id for o in range(400)}
     for step in range(3000):
@@ -264,7 +266,7 @@
 
 
 def pending_request(router: Router, object_id: int) -> RequestState:
-    """A request on which boards can be asked for."""
+    """The state of a request, for rankings."""
     return RequestState(h.request(1, object_id), router.settings.classes[0], 300.0, 6)
 
 
@@ -275,23 +277,23 @@
 
 
 def test_failing_parent_is_ejected_at_low_fill_rate() -> None:
-    """Danger: counts that fade in 4 s never reach the three bad fills that a judgement wants."""
-    for gap in (30.0, 2000.0):
+    """Guards against counts that decay in 4 s and never reach the failures needed for an ejection."""
+    for interval_ms in (30.0, 2000.0):
         router = h.router()
         for n in range(60):
-            now = n * gap * 2
+            now = n * interval_ms * 2
             actions = router.handle(now, [h.request(n, n + 1, now=now, size_kb=50.0)])
             fetch = h.fetches(actions)[0]
-            lost = fetch.source == 21
-            done = (
+            failed = fetch.source == 21
+            failure = (
                 h.attempt_ended(fetch, i.Outcome.REJECTED, cache_status=i.CacheStatus.SOURCE_FAILED)
-                if lost
+                if failed
                 else None
             )
             router.handle(
                 now + 10.0,
                 [
-                    done
+                    failure
                     or h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)
                 ],
             )
@@ -305,19 +307,19 @@
 
 
 def test_only_consecutive_failures_eject_cache() -> None:
-    """Danger: without the good answers in between every busy cache would be condemned in the end."""
-    for bad_every, gone in ((1, True), (2, False)):
+    """Without resetting the count on successes, every busy cache would eventually be ejected."""
+    for success_interval, ejected in ((1, True), (2, False)):
         router = h.router(max_attempts=1)
         for n in range(12):
             fetch = h.fetches(router.handle(n * 500.0, [h.request(n, 5, now=n * 500.0)]))[0]
-            good = n % bad_every == bad_every - 1 and bad_every > 1
-            outcome = i.Outcome.OK if good else i.Outcome.RESET
-            router.handle(n * 500.0 + 50.0, [h.attempt_ended(fetch, outcome, is_final=good)])
-        assert (router.endpoints.by_id[h.first_cache(5)].health.ejections > 0) == gone
+            succeeds = n % success_interval == success_interval - 1 and success_interval > 1
+            outcome = i.Outcome.OK if succeeds else i.Outcome.RESET
+            router.handle(n * 500.0 + 50.0, [h.attempt_ended(fetch, outcome, is_final=succeeds)])
+        assert (router.endpoints.by_id[h.first_cache(5)].health.ejections > 0) == ejected
 
 
 def test_error_counts_against_cache_only_if_another_serves_request() -> None:
-    """Danger: one bad client's requests err wherever they come, and would put every cache out of use."""
+    """Invalid requests of one client fail at every cache, and would otherwise eject all caches."""
     for bad_request in (True, False):
         router = h.router()
         for n in range(8):
@@ -336,20 +338,20 @@
 
 
 def test_broken_connection_is_one_failure_and_not_a_restart() -> None:
-    """Danger: all that was out on it ends at once, and would put the cache out of use."""
+    """All attempts in flight on a connection end together, and would otherwise eject the cache."""
     router = h.router()
     sent = [h.fetches(router.handle(0.0, [h.request(n)]))[0] for n in range(6)]
-    top = router.endpoints.by_id[sent[0].member]
+    cache = router.endpoints.by_id[sent[0].member]
     for fetch in sent:
         router.handle(10.0, [h.attempt_ended(fetch, i.Outcome.RESET)])
-    assert not top.health.ejections and top.slow_start.factor(20.0) == 1.0
+    assert not cache.health.ejections and cache.slow_start.factor(20.0) == 1.0
     fetch = h.fetches(router.handle(20.0, [h.request(9, now=20.0)]))[0]
     router.handle(30.0, [h.attempt_ended(fetch, i.Outcome.RESET)])
-    assert fetch.member == top.id and top.slow_start.factor(40.0) < 1.0
+    assert fetch.member == cache.id and cache.slow_start.factor(40.0) < 1.0
 
 
 def test_lost_location_uses_parents_directly_and_its_caches_get_trials() -> None:
-    """The list tells of a lost location only after seconds; meanwhile nothing may be refused for it."""
+    """The list reports a lost location only after seconds; until then no request may be rejected for it."""
     router = h.router(allows_origin_direct=True)
     for n in range(60):
         now = 100.0 * n
@@ -362,20 +364,20 @@
         for fetch in sent:
             router.handle(now + 50.0, [h.attempt_ended(fetch, i.Outcome.OK, attempt, is_final=True)])
     sent = h.fetches(router.handle(6000.0, [h.request(n, n, now=6000.0) for n in range(100, 110)]))
-    straight = [f for f in sent if f.member in h.PARENTS and f.source == h.ORIGIN]
-    assert len(straight) >= 6
-    wrote = h.fetches(router.handle(6000.0, [h.request(111, cls=h.UNSAFE, now=6000.0)]))
-    assert (wrote[0].member, wrote[0].source) == (h.ORIGIN, h.ORIGIN)
-    # Out of use for EJECT_MS, cold by then: the trickle of trials finds a cache that answers again.
+    direct = [f for f in sent if f.member in h.PARENTS and f.source == h.ORIGIN]
+    assert len(direct) >= 6
+    writes = h.fetches(router.handle(6000.0, [h.request(111, cls=h.UNSAFE, now=6000.0)]))
+    assert (writes[0].member, writes[0].source) == (h.ORIGIN, h.ORIGIN)
+    # After the ejection time the caches are in slow start, and trial requests reach them again.
     later = []
     for n in range(200, 240):
         later += h.fetches(router.handle(20000.0 + n, [h.request(n, n, now=20000.0 + n)]))
     assert any(f.member in h.CACHES for f in later)
 
 
-def fills(elapsed: float, waited: float, tells: str) -> Router:
-    """Forty first requests of 300 ms of sending time (aim 1100, overdue after 740), each filled so late."""
-    router = h.router(reports_fill_source=tells)
+def router_after_fills(elapsed_ms: float, wait_ms: float, reports: str) -> Router:
+    """Return a router after 40 fills (transfer 300 ms, objective 1100 ms, overdue after 740 ms)."""
+    router = h.router(reports_fill_source=reports)
     for n in range(40):
         now = n * 60.0
         fetch = h.fetches(router.handle(now, [h.request(n, n + 1, now=now)]))[0]
@@ -383,22 +385,22 @@
         end = h.attempt_ended(
             fetch,
             i.Outcome.OK,
-            elapsed_ms=elapsed,
+            elapsed_ms=elapsed_ms,
             is_final=True,
             cache_status=i.CacheStatus.FILLED,
-            fill_wait_ms=waited,
+            fill_wait_ms=wait_ms,
         )
-        router.handle(now + elapsed, [end])
-        router.now_ms = now  # the next one's clock: these run beside one another
+        router.handle(now + elapsed_ms, [end])
+        router.now_ms = now  # set the clock back, as the requests overlap
     return router
 
 
 def test_timely_fill_does_not_limit_others_without_wait_reports() -> None:
-    """Seen: 0 to 1 fills of hundreds too late in 5 s, and a tenth of the fills let through all day."""
-    assert fills(800.0, 0.0, "hit").fill_limits.late.allowed_share == 1.0
-    assert fills(1200.0, 0.0, "hit").fill_limits.late.allowed_share < 1.0
-    assert fills(800.0, 100.0, "all").fill_limits.late.allowed_share < 1.0
-    assert fills(800.0, 600.0, "all").fill_limits.late.allowed_share == 1.0
+    """Observed fault: with at most 1 late fill of hundreds in 5 s, only a tenth of fills was allowed."""
+    assert router_after_fills(800.0, 0.0, "hit").fill_limits.late.allowed_share == 1.0
+    assert router_after_fills(1200.0, 0.0, "hit").fill_limits.late.allowed_share < 1.0
+    assert router_after_fills(800.0, 100.0, "all").fill_limits.late.allowed_share < 1.0
+    assert router_after_fills(800.0, 600.0, "all").fill_limits.late.allowed_share == 1.0
 
 
 def test_implausible_size_affects_only_its_request() -> None:
@@ -406,4 +408,6 @@
     for n, size in enumerate((1500.0, 999_999_999.0, 0.0, 1500.0)):
         router.handle(n * 10.0, [h.request(n, 5, now=n * 10.0, size_kb=size)])
     assert max(router.transfer_times.answer_ms) <= router.settings.classes[0].deadline_ms
-    assert router.requests[2].transfer_ms == pytest.approx((300.0 + 5000.0) / 2)  # not told: the mean of two
+    assert router.requests[2].transfer_ms == pytest.approx(
+        (300.0 + 5000.0) / 2
+    )  # size unknown: the mean of two
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -1,4 +1,4 @@
-"""Retention priority by the gap since the last request and the size."""
+"""Unit tests of the retention priority by the gap since the last request and the size."""
 
 from __future__ import annotations
 
@@ -21,15 +21,18 @@
         ([(5, 0, 10.0, 0.0), (5, 0, 10.0, 1000.0), (5, 0, 10.0, 1010.0)], POPULAR),  # a shorter gap
         ([(5, 0, 10.0, 0.0), (5, 0, 10.0, 1000.0), (5, 0, 10.0, 9000.0)], REPEATED),  # a longer gap
         ([(5, 0, 10.0, 0.0), (5, 0, 10.0, 1000.0), (5, 0, 900.0, 2000.0)], REPEATED),  # a greater size
-        ([(5, 0, 10.0, 0.0), (6, 0, 10.0, 61_000.0), (5, 0, 10.0, 61_001.0)], FIRST),  # forgotten since
+        (
+            [(5, 0, 10.0, 0.0), (6, 0, 10.0, 61_000.0), (5, 0, 10.0, 61_001.0)],
+            FIRST,
+        ),  # no longer in the history
     ],
 )
 def test_priority_of_last_request(
     requests: list[tuple[int, int, float, float]], expected: Popularity
 ) -> None:
     ranker = PopularityRanker()
-    found = [ranker.rank(object_id, part, size, False, now) for object_id, part, size, now in requests]
-    assert found[-1] == expected
+    results = [ranker.rank(object_id, part, size, False, now) for object_id, part, size, now in requests]
+    assert results[-1] == expected
 
 
 def test_write_is_not_retained_but_recorded() -> None:
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -1,4 +1,4 @@
-"""Purges bind the age of copies until all caches have applied them."""
+"""Unit tests of purges, which limit the age of copies until all caches have applied them."""
 
 from __future__ import annotations
 
--- a/tests/test_transfer_times.py
+++ b/tests/test_transfer_times.py
@@ -1,4 +1,4 @@
-"""Transfer times from stated sizes and from the means of the classes."""
+"""Unit tests of transfer times by request size and by the means of the classes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 @pytest.mark.parametrize(
     ("kb_per_s", "sizes", "expected"),
     [
-        (1000.0, [0.0], 200.0),  # not stated: half of the objective
+        (1000.0, [0.0], 200.0),  # size unknown: half of the objective
         (1000.0, [300.0], 300.0),
-        (1000.0, [300.0, 0.0], 300.0),  # the mean of those before
+        (1000.0, [300.0, 0.0], 300.0),  # the mean of the requests before
         (1000.0, [300.0, 500.0, 0.0], 400.0),
-        (1000.0, [9e9, 0.0], 1000.0),  # an absurd size counts as the deadline
-        (0.0, [300.0], 200.0),  # no rate is known
+        (1000.0, [9e9, 0.0], 1000.0),  # an implausible size counts as the deadline
+        (0.0, [300.0], 200.0),  # rate unknown
     ],
 )
 def test_transfer_time_of_last_request(kb_per_s: float, sizes: list[float], expected: float) -> None:
@@ -39,9 +39,13 @@
     [
         ([(100.0, True)], 100.0, 100.0),
         ([(900.0, False)], 900.0, 200.0),
-        ([(100.0, False)], 100.0, 100.0),  # without transfers alone, whole answers are the bound
+        ([(100.0, False)], 100.0, 100.0),  # without transfer samples, the mean of all answers is the bound
         ([(100.0, True), (500.0, False)], 300.0, 100.0),
-        ([(100.0, True)] * 4 + [(500.0, True)], 200.0, 200.0),  # the newest weighs a quarter at least
+        (
+            [(100.0, True)] * 4 + [(500.0, True)],
+            200.0,
+            200.0,
+        ),  # the newest sample has a weight of at least a quarter
     ],
 )
 def test_means_of_all_answers_and_of_transfers(
