--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -226,15 +226,15 @@
     """
     location = Location(routers)
     settings = location.routers[0].settings
-    one = h.CACHES[0]
+    member_id = h.CACHES[0]
     location.run(3_000.0, 200.0)
-    location.down_members.add(one)
+    location.down_members.add(member_id)
     location.run(3_000.0, 200.0)
-    location.down_members.discard(one)
+    location.down_members.discard(member_id)
     recovered_ms = location.now
     location.schedule_for_all(
         recovered_ms + 1_000.0,
-        h.delta(i.Member(one, 0, 0, one % 2, i.MemberState.READY, CAPACITY, recovered_ms)),
+        h.delta(i.Member(member_id, 0, 0, member_id % 2, i.MemberState.READY, CAPACITY, recovered_ms)),
     )
     location.run(settings.slow_start_ms * 0.4, 400.0)
 
@@ -246,9 +246,11 @@
             settings.overload_multiple * CAPACITY * capacity_share * settings.overload_window_ms / TRANSFER_MS
         )
 
-    after_event = [at for at in location.times_sent_to(one) if at >= recovered_ms + 1_000.0]
+    after_event = [at for at in location.times_sent_to(member_id) if at >= recovered_ms + 1_000.0]
     assert max_window_ratio(after_event, settings.overload_window_ms, max_calls) <= 1.0
     assert after_event, "never used again"
-    before_event = [at for at in location.times_sent_to(one) if recovered_ms <= at < recovered_ms + 1_000.0]
+    before_event = [
+        at for at in location.times_sent_to(member_id) if recovered_ms <= at < recovered_ms + 1_000.0
+    ]
     fullest = max_window_ratio(after_event, settings.overload_window_ms, max_calls)
     print(f"{routers}: {fullest:.2f} of the limit, {len(before_event)} calls before the list event")
