--- a/lupintack/decisions/attempt_planner.py
+++ b/lupintack/decisions/attempt_planner.py
@@ -76,10 +76,10 @@
         origin has already been counted there.
         """
         if now_ms >= state.request.deadline_ms:
-            state.reason = "its time is up"
+            state.reason = "its deadline has passed"
             return None
         if state.attempt_count >= min(state.max_attempts, self.settings.max_attempts):
-            state.reason = "its attempts are spent"
+            state.reason = "its maximum of attempts is reached"
             return None
         plan = self._choose_endpoints(state, now_ms, preferred)
         if plan is None or not self._admit(plan, state, now_ms):
@@ -104,7 +104,7 @@
             # If no cache of the location answers, requests are sent to parents directly.
             endpoint, source = source, origin
         if endpoint is None:
-            state.reason = "no member may be sent to"
+            state.reason = "no member is available"
             return None
         if not retries.may_repeat(state, endpoint, now_ms):
             state.reason = "it may have run"
@@ -140,7 +140,7 @@
         if self._origin_fills.acquire(self.settings.max_origin_fills, now_ms):
             plan.uses_origin_fill = True
         elif plan.endpoint is origin:
-            state.reason = "the origin's fills are taken"
+            state.reason = "the limit of origin fills is reached"
             return False
         else:
             plan.drop_source()
