--- a/lupintack/decisions/attribution.py
+++ b/lupintack/decisions/attribution.py
@@ -135,6 +135,6 @@
         if outcome == Outcome.RESET and attempt.sent_ms <= endpoint.health.last_failure_ms:
             return
         if outcome == Outcome.CONNECT_FAILED or endpoint.health.consecutive_failures:
-            # The process is down even if the list has it as ready; slow start begins when it answers again.
+            # The process is down even if it is listed as ready; it is in slow start when it answers again.
             endpoint.slow_start.lost_ms = now_ms
         self._outliers.record_cache_failure(attempt, now_ms)
--- a/lupintack/decisions/outlier_detection.py
+++ b/lupintack/decisions/outlier_detection.py
@@ -17,7 +17,7 @@
 
 CONSECUTIVE_FAILURES_TO_EJECT = 4
 OUTLIER_MARGIN = 0.3  # by which a parent's failed share must exceed its peers'
-OUTLIER_MARGIN_WITHOUT_HIT_REPORTS = 0.12  # hits also count as its successes and dilute the failed fills
+OUTLIER_MARGIN_WITHOUT_HIT_REPORTS = 0.12  # hits count as a parent's successes and dilute its failures
 OUTLIER_STANDARD_ERRORS = 1.5  # of the parent's own share, added to the margin
 PRIOR_SUCCESSES = 2.0  # assumed for each parent at the start
 MIN_FAILURES_TO_EJECT = 2.5  # a single object that cannot be filled must not eject a parent
--- a/lupintack/decisions/purges.py
+++ b/lupintack/decisions/purges.py
@@ -12,7 +12,7 @@
 PURGE_MARGIN_MS = 4000.0  # a purge is remembered this long after it has settled
 MAX_PURGES = 4096  # beyond that the oldest one is dropped and applies to every object
 AGE_MARGIN_MS = 1.0  # subtracted from an age bound against rounding
-MIN_AGE_MS = 0.01  # 0 on the wire means the default age
+MIN_AGE_MS = 0.01  # a max_age_ms of 0 means the default
 LOCAL_COPY_MARGIN_MS = 50.0  # subtracted from the age bound: the copy ages further while it is sent
 MAX_LOCAL_LINK_WAIT_RATIO = 0.2  # of the latency objective; beyond that a cache serves the request
 
@@ -35,9 +35,7 @@
     def __init__(self) -> None:
         """Start without any purge."""
         self.purge_times: OrderedDict[tuple[int, int], float] = OrderedDict()  # oldest first
-        self.floor_ms = (
-            -math.inf
-        )  # newest purge that was dropped before it settled; it applies to every object
+        self.floor_ms = -math.inf  # newest purge dropped before it settled; applies to every object
 
     def record(self, event: Purged, now_ms: float, purge_settle_ms: float) -> None:
         """Record a purge, and drop those that have settled."""
--- a/lupintack/decisions/slow_start.py
+++ b/lupintack/decisions/slow_start.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-DEMAND_WINDOW_MS = 2000.0  # about two of the slowest fills
+DEMAND_WINDOW_MS = 2000.0  # as long as two of the slowest fills
 WARMING_BUDGET_SHARE = 0.8  # of the overload multiple, for all routers together; sizes are estimates
 MAX_WARMING_MULTIPLE = 2.0  # of the current capacity; above it answers are late
 SLOW_START_MARGIN = 1.1  # factor of the stated slow-start time
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -170,13 +170,13 @@
             ],
         )
     router.handle(10_000.0, [h.delta(h.member(h.PARENTS[0], started_ms=4_000.0))])
-    cold = router.endpoints.by_id[h.PARENTS[0]]
+    endpoint = router.endpoints.by_id[h.PARENTS[0]]
     for n in range(300, 400):
-        before = cold.slow_start.refill(10_000.0 + n, router.settings.overload_window_ms)
+        before = endpoint.slow_start.refill(10_000.0 + n, router.settings.overload_window_ms)
         fetch = h.fetches(router.handle(10_000.0 + n, [h.request(n, n, now=10_000.0 + n, size_kb=0.0)]))[0]
         router.handle(10_000.0 + n, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, elapsed_ms=0.0)])
-        if fetch.source == cold.id:
-            assert before - cold.slow_start.tokens_ms == pytest.approx(100.0, abs=15.0)
+        if fetch.source == endpoint.id:
+            assert before - endpoint.slow_start.tokens_ms == pytest.approx(100.0, abs=15.0)
             return
     raise AssertionError("the parent in slow start is never used")
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,7 @@
 from lupintack.decisions.slow_start import Demand, quota
 from lupintack.fleet.budget_leases import core_leases, demand, in_use
 from tests import helpers as h
-from tests.test_slow_start import STARTED_MS, cold_router, tokens_spent
+from tests.test_slow_start import STARTED_MS, router_after_start, tokens_spent
 
 
 @pytest.mark.parametrize("number", [h.CACHES[0], h.PARENTS[0]])
@@ -34,10 +34,11 @@
 ) -> None:
     """Whatever the settings say of how many routers there are; and a process without a slot sends nothing."""
     told: dict[str, Any] = {"router_count": 3, "routers_by_zone": (2, 0, 0), "router_index": 0}
-    whole = cold_router(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
+    whole = router_after_start(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
     bound = tokens_spent([whole], number, whole.settings)
     routers = [
-        cold_router(number, **told, warming_cache_share=n / 8, warming_parent_share=n / 8) for n in slots
+        router_after_start(number, **told, warming_cache_share=n / 8, warming_parent_share=n / 8)
+        for n in slots
     ]
     assert tokens_spent(routers, number, routers[0].settings) <= bound * 1.001
     for made, n in zip(routers, slots, strict=True):
@@ -45,7 +46,7 @@
 
 
 def test_a_slot_that_has_gone_takes_what_it_had_gathered_along() -> None:
-    made = cold_router(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
+    made = router_after_start(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
     peer, known = made.endpoints.by_id[h.PARENTS[0]], made.settings
     assert peer.slow_start.refill(STARTED_MS + 500.0, known.overload_window_ms, 1, 1.0) > 0.0
     assert peer.slow_start.refill(STARTED_MS + 501.0, known.overload_window_ms, 1, 0.0) == 0.0
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -11,7 +11,7 @@
 from tests import helpers as h
 
 
-def drive(
+def send_requests(
     router: Router, outcome: dict[int, str], until: float = 6000.0, start: float = 0.0
 ) -> list[i.Fetch]:
     """Send a request every 20 ms; members in `outcome` are "hung" or "errors", others answer after 100 ms."""
@@ -53,25 +53,25 @@
 
 def test_hung_cache_is_ejected_and_recovers_by_trial_requests() -> None:
     router = h.router()
-    assert share_in_last_100(drive(router, {11: "hung"}), 11) < 0.08
-    assert share_in_last_100(drive(router, {}, 24000.0, 6000.0), 11) > 0.1
+    assert share_in_last_100(send_requests(router, {11: "hung"}), 11) < 0.08
+    assert share_in_last_100(send_requests(router, {}, 24000.0, 6000.0), 11) > 0.1
 
 
 def test_failing_cache_is_ejected() -> None:
     router = h.router()
-    assert share_in_last_100(drive(router, {11: "errors"}), 11) < 0.08
+    assert share_in_last_100(send_requests(router, {11: "errors"}), 11) < 0.08
 
 
 def test_hung_parent_is_ejected_without_any_cache() -> None:
     router = h.router()
-    sent = drive(router, {21: "hung"})
+    sent = send_requests(router, {21: "hung"})
     assert share_in_last_100(sent, 21) < 0.08
     assert all(not h.is_ejected(router, router.endpoints.by_id[c]) for c in h.CACHES)
 
 
 def test_if_all_parents_hang_none_is_ejected_and_fills_are_limited() -> None:
     router = h.router()
-    sent = drive(router, {p: "hung" for p in (*h.PARENTS, h.ORIGIN)}, 4000.0)
+    sent = send_requests(router, {p: "hung" for p in (*h.PARENTS, h.ORIGIN)}, 4000.0)
     assert all(not h.is_ejected(router, router.endpoints.by_id[m]) for m in (*h.CACHES, *h.PARENTS))
     assert any(f.only_if_cached for f in sent[-50:]) and router.fill_limits.failed.allowed_share < 0.6
 
@@ -144,7 +144,7 @@
 def test_last_parent_is_ejected_if_it_fails_and_origin_does_not() -> None:
     router = h.router()
     router.handle(0.0, [h.delta(*(h.member(p, 0) for p in h.PARENTS[1:]))])
-    sent = drive(router, {21: "hung"}, 8000.0)
+    sent = send_requests(router, {21: "hung"}, 8000.0)
     assert share_in_last_100(sent, h.ORIGIN) > 0.8
     assert all(not h.is_ejected(router, router.endpoints.by_id[c]) for c in h.CACHES)
 
@@ -272,7 +272,7 @@
 
 def test_cache_is_not_ejected_while_all_caches_fail() -> None:
     router = h.router()
-    drive(router, dict.fromkeys(h.CACHES, "errors"))
+    send_requests(router, dict.fromkeys(h.CACHES, "errors"))
     assert all(not h.is_ejected(router, router.endpoints.by_id[c]) for c in h.CACHES)
 
 
--- a/tests/test_second.py
+++ b/tests/test_second.py
@@ -59,20 +59,18 @@
 @pytest.mark.parametrize("count", [3, 40])
 def test_all_caches_replaced_within_22_s_without_load_reports(count: int) -> None:
     """Without load reports, the requests to each new cache stay within its budget, and it is used."""
-    routers, names = fleet(count, 0.0), list(h.CACHES)
+    routers, cache_ids = fleet(count, 0.0), list(h.CACHES)
     sent: dict[int, list[tuple[float, float]]] = {}
     started_at: dict[int, float] = {}
     rejected = requested = 0
     for step in range(3000):
         now = step * 10.0
         events: list[i.Event] = []
-        if (
-            step and step % 550 == 0 and len(started_at) < len(h.CACHES)
-        ):  # a replacement every 5.5 s, 22 s in all
-            old = names[len(started_at)]
-            fresh = old + 100
-            started_at[fresh] = now
-            new = i.Member(fresh, 0, 0, 0, started_ms=now, capacity=10.0)
+        if step and step % 550 == 0 and len(started_at) < len(h.CACHES):  # every 5.5 s, 22 s in all
+            old = cache_ids[len(started_at)]
+            new_id = old + 100
+            started_at[new_id] = now
+            new = i.Member(new_id, 0, 0, 0, started_ms=now, capacity=10.0)
             events.append(h.delta(i.Member(old, 0, 0, 0, i.MemberState.REMOVED), new))
         for router in routers:
             if events:
@@ -82,8 +80,8 @@
         actions = router.handle(now, [h.request(step, step % 211 + 1, now=now, size_kb=250.0)])
         rejected += len(h.final_answers(actions))
         for fetch in h.fetches(actions):
-            for number in {fetch.member, fetch.source}:
-                sent.setdefault(number, []).append((now, 50.0))
+            for member_id in {fetch.member, fetch.source}:
+                sent.setdefault(member_id, []).append((now, 50.0))
             router.handle(
                 now, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)]
             )
@@ -92,34 +90,36 @@
         assert sent.get(cache), "the new cache is never used"
         for begin in range(0, 14, 2):
             window = [
-                (t, w) for t, w in sent[cache] if begin * 1000.0 <= t - started_ms < begin * 1000.0 + 1000.0
+                (sent_ms, transfer)
+                for sent_ms, transfer in sent[cache]
+                if begin * 1000.0 <= sent_ms - started_ms < begin * 1000.0 + 1000.0
             ]
             capacity_share = 0.25 + 0.75 * begin / 14.0
-            assert sum(w for _, w in window) <= 4.0 * capacity_share * 10.0 * 1000.0
-    removed_at = {old: removed_ms for old, removed_ms in zip(names, started_at.values(), strict=False)}
-    assert all(t <= removed_at[old] for old in removed_at for t, _ in sent.get(old, []))
+            assert sum(transfer for _, transfer in window) <= 4.0 * capacity_share * 10.0 * 1000.0
+    removed_at = {old: removed_ms for old, removed_ms in zip(cache_ids, started_at.values(), strict=False)}
+    assert all(sent_ms <= removed_at[old] for old in removed_at for sent_ms, _ in sent.get(old, []))
 
 
 @pytest.mark.parametrize("count", [4, 40])
 def test_parent_starting_at_8_percent_is_not_overloaded(count: int) -> None:
     routers = fleet(count, 1000.0)
-    cold = h.PARENTS[0]
-    news = h.delta(h.member(cold, 1, 1000.0, 40.0))
+    warming_id = h.PARENTS[0]
+    event = h.delta(h.member(warming_id, 1, 1000.0, 40.0))
     sent: list[tuple[float, float]] = []
     for router in routers:
-        router.handle(1000.0, [news])
+        router.handle(1000.0, [event])
     for step in range(2500):
         now = 1000.0 + step * 2.0
         router = routers[step % count]
         for fetch in h.fetches(router.handle(now, [h.request(step, step, now=now, size_kb=1500.0)])):
-            if cold in (fetch.member, fetch.source):
+            if warming_id in (fetch.member, fetch.source):
                 sent.append((now, 300.0))
             router.handle(
                 now, [h.attempt_ended(fetch, i.Outcome.OK, is_final=True, cache_status=i.CacheStatus.FILLED)]
             )
     assert sent, "the new parent is never used"
     for begin_ms, _ in sent:
-        work_ms = sum(w for t, w in sent if begin_ms <= t < begin_ms + 1000.0)
+        work_ms = sum(transfer for sent_ms, transfer in sent if begin_ms <= sent_ms < begin_ms + 1000.0)
         capacity_share = 0.082 + (1 - 0.082) * (begin_ms - 1000.0) / 20_000.0
         assert work_ms <= 2.0 * capacity_share * 40.0 * 1000.0
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -28,8 +28,8 @@
     assert all(fetch[0].source in h.PARENTS for fetch in sent if fetch and fetch[0].member == second)
     for other in others:
         router.endpoints.by_id[other].load.change_in_flight(0.0, 60)
-    refused = router.handle(0.0, [h.request(99, 5, size_kb=3000.0)])
-    assert not [f for f in h.fetches(refused) if f.source in h.PARENTS]
+    last_actions = router.handle(0.0, [h.request(99, 5, size_kb=3000.0)])
+    assert not [f for f in h.fetches(last_actions) if f.source in h.PARENTS]
 
 
 def test_state_of_new_objects_and_members_is_bounded() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -19,7 +19,7 @@
 STARTED_MS = 1000.0
 
 
-def cold_router(member_id: int, **changes: object) -> Router:
+def router_after_start(member_id: int, **changes: object) -> Router:
     """A router that has just received the start of a member."""
     router = h.router(STARTED_MS, **changes)
     router.handle(STARTED_MS, [h.delta(h.member(member_id, 1, STARTED_MS, 40.0))])
@@ -44,8 +44,8 @@
 @pytest.mark.parametrize("member_id", [h.CACHES[0], h.PARENTS[0]])
 def test_both_processes_of_upgrade_share_quota_of_router(member_id: int) -> None:
     changes = {"router_count": 1, "routers_by_zone": (1, 0, 0), "router_index": 0}
-    single = cold_router(member_id, **changes)
-    upgrading = [cold_router(member_id, **changes, process_count=2) for _ in range(2)]
+    single = router_after_start(member_id, **changes)
+    upgrading = [router_after_start(member_id, **changes, process_count=2) for _ in range(2)]
     single_spent = tokens_spent([single], member_id, single.settings)
     upgrading_spent = tokens_spent(upgrading, member_id, single.settings)
     assert 0.0 < upgrading_spent <= single_spent * 1.001
@@ -55,7 +55,9 @@
 def test_quotas_of_parent_in_slow_start_sum_to_its_budget(router_count: int) -> None:
     """All routers request simultaneously with equal seeds; the calls they borrow match their quotas."""
     parent = h.PARENTS[0]
-    routers = [cold_router(parent, router_count=router_count, router_index=n) for n in range(router_count)]
+    routers = [
+        router_after_start(parent, router_count=router_count, router_index=n) for n in range(router_count)
+    ]
     settings = routers[0].settings
     now, need = STARTED_MS + 500.0, 300.0
     saved = [
