--- a/tests/test_ejections.py
+++ b/tests/test_ejections.py
@@ -1,4 +1,4 @@
-"""The outlier detector alone: ejections, trial requests and the way back."""
+"""Unit tests of the outlier detector: ejections, trial requests and recovery."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
         (3, 0, False, False),
         (4, 0, False, True),
         (4, 1, False, True),
-        (4, 2, False, False),  # no more than half of the three others are healthy
+        (4, 2, False, False),  # only one of the three others is healthy
         (4, 3, False, False),
-        (4, 3, True, True),  # parents can stand in
+        (4, 3, True, True),  # requests may be sent to parents directly
     ],
 )
-def test_a_cache_is_ejected_by_failures_in_a_row_while_most_others_are_healthy(
+def test_consecutive_failures_eject_cache_while_most_others_are_healthy(
     failures: int, failing_neighbours: int, origin_direct: bool, ejected: bool
 ) -> None:
     table = parts.endpoint_table(allows_origin_direct=origin_direct)
@@ -42,12 +42,12 @@
         ((0.0, 1.0), (0.0, 0.0), "hit", False),  # too few
         ((20.0, 2.0), (20.0, 0.0), "hit", False),
         ((6.0, 5.0), (20.0, 0.0), "hit", True),
-        ((6.0, 5.0), (6.0, 5.0), "hit", False),  # its peers fail alike
+        ((6.0, 5.0), (6.0, 5.0), "hit", False),  # its peers fail as often
         ((20.0, 5.0), (40.0, 0.0), "hit", False),
-        ((20.0, 5.0), (40.0, 0.0), "none", True),  # diluted by hits, which also count for a parent
+        ((20.0, 5.0), (40.0, 0.0), "none", True),  # lower margin, as unreported hits count as successes
     ],
 )
-def test_a_parent_is_ejected_when_its_failed_share_stands_out(
+def test_parent_is_ejected_if_its_failed_share_is_outlier(
     own: tuple[float, float], peers: tuple[float, float], reports: str, ejected: bool
 ) -> None:
     table = parts.endpoint_table(reports_fill_source=reports)
@@ -60,7 +60,7 @@
     assert outliers.is_ejected(parent, 100.0) == ejected and outliers.fill_count == 1.0
 
 
-def test_the_origin_is_never_an_outlier_but_the_last_parent_is_compared_with_it() -> None:
+def test_origin_is_never_ejected_and_last_parent_is_compared_with_it() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     origin, (last, *others) = table.by_id[h.ORIGIN], table.parents
@@ -79,7 +79,7 @@
     ("ejections", "draw", "expected_ms"),
     [(0, 0.5, 2500.0), (1, 0.5, 5000.0), (2, 0.5, od.MAX_EJECTION_MS), (0, 0.0, 1500.0), (9, 0.0, 8000.0)],
 )
-def test_an_ejection_doubles_up_to_a_bound(ejections: int, draw: float, expected_ms: float) -> None:
+def test_ejection_time_doubles_up_to_maximum(ejections: int, draw: float, expected_ms: float) -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table, draw)
     health = table.caches[0].health
@@ -89,26 +89,26 @@
     assert (health.ejections, health.consecutive_failures, health.failures) == (ejections + 1, 0, 0.0)
 
 
-def test_trials_are_a_trickle_and_two_timely_answers_end_the_ejection() -> None:
+def test_trials_are_rare_and_two_timely_answers_end_ejection() -> None:
     table = parts.endpoint_table()
     outliers, actions = parts.detector(table)
     cache = table.caches[0]
-    assert not outliers.claim_trial(cache, 50.0), "it is in use"
+    assert not outliers.claim_trial(cache, 50.0), "not ejected"
     outliers.eject(cache, "test", 100.0)
     assert not outliers.claim_trial(cache, 2599.0)
     assert outliers.claim_trial(cache, 2600.0) and not outliers.claim_trial(cache, 2999.0)
     assert outliers.claim_trial(cache, 3000.0)
     outliers.record_success(cache, parts.attempt_state(cache), 3100.0)
     outliers.record_success(cache, parts.attempt_state(cache, is_trial=True, is_overdue=True), 3100.0)
-    assert cache.health.trial_successes == 0, "neither a trial nor in time"
+    assert cache.health.trial_successes == 0, "neither a trial request nor in time"
     for _ in range(od.TRIAL_SUCCESSES_TO_RECOVER):
         assert outliers.is_ejected(cache, 3100.0)
         outliers.record_success(cache, parts.attempt_state(cache, is_trial=True), 3100.0)
     assert not outliers.is_ejected(cache, 3100.0)
-    assert len(actions) == 1, "the second line comes too soon after the first"
+    assert len(actions) == 1, "the second log line is suppressed by the interval"
 
 
-def test_a_failed_trial_ejects_again_and_a_late_failure_does_not() -> None:
+def test_failed_trial_ejects_again_but_late_failure_does_not() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     cache = table.caches[0]
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("failing", "ejected", "expected"), [(4, 0, True), (2, 2, True), (3, 0, False)])
-def test_a_location_is_lost_when_each_cache_is_ejected_or_only_fails(
+def test_location_is_down_if_each_cache_is_ejected_or_only_fails(
     failing: int, ejected: int, expected: bool
 ) -> None:
     table = parts.endpoint_table()
@@ -129,10 +129,10 @@
         cache.health.consecutive_failures = od.CONSECUTIVE_FAILURES_TO_EJECT
     for cache in table.caches[failing : failing + ejected]:
         outliers.eject(cache, "test", 100.0)
-    assert outliers.all_caches_ejected(100.0) == expected
+    assert outliers.is_location_down(100.0) == expected
 
 
-def test_an_attempt_is_likely_lost_at_an_ejected_endpoint_or_source() -> None:
+def test_attempt_is_likely_lost_at_ejected_endpoint_or_source() -> None:
     table = parts.endpoint_table()
     outliers, _ = parts.detector(table)
     attempt = parts.attempt_state(table.caches[0], table.parents[0])
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -142,7 +142,7 @@
         (999, 600.0, group == "all"),
     ):
         router = h.router(classes=(cls,))
-        request = h.ask(
+        request = h.request(
             1, cls=0, now=1000.0, size_kb=0.0, first_attempt_ms=first_attempt_ms, first_attempt_member=member
         )
         actions = router.handle(1000.0, [request])
@@ -151,7 +151,7 @@
         for fetch in fetches:
             assert group != "cell" or fetch.member % 2 == member % 2
         if not allowed:
-            assert isinstance(h.finals(actions)[0], i.Reject if group == "all" else i.Fail)
+            assert isinstance(h.final_answers(actions)[0], i.Reject if group == "all" else i.Fail)
 
 
 def make_attempt(**changes: Any) -> Attempt:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,7 @@
 from lupintack.decisions.slow_start import Demand, quota
 from lupintack.fleet.budget_leases import core_leases, demand, in_use
 from tests import helpers as h
-from tests.test_slow_start import WARM_AT, cold, spent
+from tests.test_slow_start import STARTED_MS, router_after_start, tokens_spent
 
 
 @pytest.mark.parametrize("number", [h.CACHES[0], h.PARENTS[0]])
@@ -32,20 +32,23 @@
 def test_leased_shares_never_exceed_cold_members_budget(number: int, slots: list[int]) -> None:
     """Holds for any configured number of routers; a process without a slot sends nothing."""
     changes: dict[str, Any] = {"router_count": 3, "routers_by_zone": (2, 0, 0), "router_index": 0}
-    single_router = cold(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
-    bound = spent([single_router], number, single_router.settings)
-    routers = [cold(number, **changes, warming_cache_share=n / 8, warming_parent_share=n / 8) for n in slots]
-    assert spent(routers, number, routers[0].settings) <= bound * 1.001
+    single_router = router_after_start(number, router_count=1, routers_by_zone=(1, 0, 0), router_index=0)
+    bound = tokens_spent([single_router], number, single_router.settings)
+    routers = [
+        router_after_start(number, **changes, warming_cache_share=n / 8, warming_parent_share=n / 8)
+        for n in slots
+    ]
+    assert tokens_spent(routers, number, routers[0].settings) <= bound * 1.001
     for router, n in zip(routers, slots, strict=True):
-        assert (spent([router], number, router.settings) > 0.0) == (n > 0)
+        assert (tokens_spent([router], number, router.settings) > 0.0) == (n > 0)
 
 
 def test_lost_slot_discards_accumulated_units() -> None:
-    router = cold(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
+    router = router_after_start(h.PARENTS[0], warming_parent_share=1.0, warming_cache_share=1.0)
     endpoint, settings = router.endpoints.by_id[h.PARENTS[0]], router.settings
-    assert endpoint.slow_start.refill(WARM_AT + 500.0, settings.overload_window_ms, 1, 1.0) > 0.0
-    assert endpoint.slow_start.refill(WARM_AT + 501.0, settings.overload_window_ms, 1, 0.0) == 0.0
-    assert endpoint.slow_start.refill(WARM_AT + 501.0, settings.overload_window_ms, 1, 1.0) == 0.0
+    assert endpoint.slow_start.refill(STARTED_MS + 500.0, settings.overload_window_ms, 1, 1.0) > 0.0
+    assert endpoint.slow_start.refill(STARTED_MS + 501.0, settings.overload_window_ms, 1, 0.0) == 0.0
+    assert endpoint.slow_start.refill(STARTED_MS + 501.0, settings.overload_window_ms, 1, 1.0) == 0.0
 
 
 def origin_only(**changes: Any) -> Any:
@@ -59,21 +62,21 @@
     router = origin_only(max_origin_fills=2)
     fetches = []
     for n in range(4):
-        fetches += h.fetches(router.handle(1.0 + n, [h.ask(n, 100 + n, now=1.0 + n)]))
+        fetches += h.fetches(router.handle(1.0 + n, [h.request(n, 100 + n, now=1.0 + n)]))
     origin_fetches = [fetch for fetch in fetches if h.ORIGIN in (fetch.source, fetch.member)]
     cache_fetches = [fetch for fetch in fetches if fetch not in origin_fetches]
     assert (len(origin_fetches), len(cache_fetches)) == (2, 2), "the others request only cached copies"
-    rejections = h.finals(router.handle(9.0, [h.ended(cache_fetches[0], i.Outcome.MISS)]))
+    rejections = h.final_answers(router.handle(9.0, [h.attempt_ended(cache_fetches[0], i.Outcome.MISS)]))
     assert [isinstance(action, i.Reject) and action.retry_after_ms > 0 for action in rejections] == [True]
-    router.handle(10.0, [h.ended(origin_fetches[0], i.Outcome.OK, is_final=True)])
-    (next_fetch,) = h.fetches(router.handle(11.0, [h.ask(9, 900, now=11.0)]))
+    router.handle(10.0, [h.attempt_ended(origin_fetches[0], i.Outcome.OK, is_final=True)])
+    (next_fetch,) = h.fetches(router.handle(11.0, [h.request(9, 900, now=11.0)]))
     assert next_fetch.source == h.ORIGIN
     assert router.origin_fills.demand(11.0) > 2.9
 
 
 def test_write_does_not_count_as_origin_fill() -> None:
     router = origin_only(max_origin_fills=0)
-    actions = router.handle(1.0, [h.ask(1, 7, cls=h.UNSAFE, now=1.0)])
+    actions = router.handle(1.0, [h.request(1, 7, cls=h.UNSAFE, now=1.0)])
     assert [a.member for a in actions if isinstance(a, i.Fetch)]
 
 
--- a/tests/test_transfer_times.py
+++ b/tests/test_transfer_times.py
@@ -1,4 +1,4 @@
-"""Transfer times from stated sizes and from the means of the classes."""
+"""Unit tests of transfer times by request size and by the means of the classes."""
 
 from __future__ import annotations
 
@@ -17,22 +17,20 @@
 @pytest.mark.parametrize(
     ("kb_per_s", "sizes", "expected"),
     [
-        (1000.0, [0.0], 200.0),  # not stated: half of the objective
+        (1000.0, [0.0], 200.0),  # size unknown: half of the objective
         (1000.0, [300.0], 300.0),
-        (1000.0, [300.0, 0.0], 300.0),  # the mean of those before
+        (1000.0, [300.0, 0.0], 300.0),  # the mean of the requests before
         (1000.0, [300.0, 500.0, 0.0], 400.0),
-        (1000.0, [9e9, 0.0], 1000.0),  # an absurd size counts as the deadline
-        (0.0, [300.0], 200.0),  # no rate is known
+        (1000.0, [9e9, 0.0], 1000.0),  # an implausible size counts as the deadline
+        (0.0, [300.0], 200.0),  # rate unknown
     ],
 )
-def test_the_last_of_these_requests_has_this_time(
-    kb_per_s: float, sizes: list[float], expected: float
-) -> None:
+def test_transfer_time_of_last_request(kb_per_s: float, sizes: list[float], expected: float) -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, kb_per_s)
     assert [times.estimate_ms(0, size) for size in sizes][-1] == pytest.approx(expected)
 
 
-def test_an_absurd_size_is_the_requests_own_time() -> None:
+def test_implausible_size_determines_its_own_time() -> None:
     assert TransferTimeEstimator(CONFIG, CLASSES, 1000.0).estimate_ms(0, 9e9) == 9e9
 
 
@@ -41,12 +39,16 @@
     [
         ([(100.0, True)], 100.0, 100.0),
         ([(900.0, False)], 900.0, 200.0),
-        ([(100.0, False)], 100.0, 100.0),  # without transfers alone, whole answers are the bound
+        ([(100.0, False)], 100.0, 100.0),  # without transfer samples, the mean of all answers is the bound
         ([(100.0, True), (500.0, False)], 300.0, 100.0),
-        ([(100.0, True)] * 4 + [(500.0, True)], 200.0, 200.0),  # the newest weighs a quarter at least
+        (
+            [(100.0, True)] * 4 + [(500.0, True)],
+            200.0,
+            200.0,
+        ),  # the newest sample has a weight of at least a quarter
     ],
 )
-def test_means_of_answers_and_of_transfers_alone(
+def test_means_of_all_answers_and_of_transfers(
     samples: list[tuple[float, bool]], answer_ms: float, transfer_ms: float
 ) -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, 0.0)
@@ -56,7 +58,7 @@
     assert (times.answer_ms[1], times.transfer_ms[1]) == (300.0, 300.0), "another class"
 
 
-def test_a_class_that_keeps_its_name_and_index_keeps_its_means() -> None:
+def test_class_with_same_name_and_index_keeps_its_means() -> None:
     times = TransferTimeEstimator(CONFIG, CLASSES, 0.0)
     for index in (0, 1):
         times.record(index, 50.0, True)
