--- a/lupintack/__main__.py
+++ b/lupintack/__main__.py
@@ -71,9 +71,9 @@
         print(f"lupintack: {error}", file=sys.stderr)
         return 2
     times.end_part()
-    node.print_ready(times.as_log_fields())
+    node.log_ready(times.as_log_fields())
     node.stop(wait_for_end(node))
-    node.print_counters()
+    node.log_counters()
     sys.stderr.flush()
     return 0
 
@@ -85,9 +85,9 @@
 
     conf = config.load(os.environ)
     logs.set_up(conf.name)
-    followed = build_discovery(conf)
+    started_discovery = build_discovery(conf)
     # Discovery takes up to a second to prove the list, so it starts before the rest is imported.
-    followed.client.start(spawn)
+    started_discovery.client.start(spawn)
     times.end_part()
     from lupintack.fronts.cdni.conf import FILE, load
     from lupintack.node import Node
@@ -97,7 +97,7 @@
     cdni = load(Path(os.environ.get("LUPINTACK_CDNI") or FILE), conf.names.classes)
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
-    return Node(conf, cdni, operator_file, followed)
+    return Node(conf, cdni, operator_file, started_discovery)
 
 
 def spawn(target: Callable[[], None], name: str) -> None:
@@ -150,7 +150,7 @@
     if number == signal.SIGHUP:
         node.reload(os.environ)
     else:
-        node.print_counters()
+        node.log_counters()
 
 
 def start() -> None:
--- a/lupintack/cli/check.py
+++ b/lupintack/cli/check.py
@@ -25,7 +25,7 @@
 
         found = config.load({"EDGE_CONFIG": str(file)})
         return ["platform"] + ["second address"] * (found.admin is not None)
-    data = files.read(file)
+    data = files.read_toml(file)
     if data is None:
         raise ConfigError(f"{file}: no such file")
     if kind == "operator":
--- a/lupintack/config.py
+++ b/lupintack/config.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from lupintack.interface import Settings
-from lupintack.settings.changes import check_sound
+from lupintack.settings.changes import check_settings
 from lupintack.settings.errors import ConfigError, SettingsError
-from lupintack.settings.files import address, content
+from lupintack.settings.files import address, read_bytes
 from lupintack.settings.instance import read_settings
 
 __all__ = ["Config", "ConfigError", "Limits", "Names", "address", "load", "parse"]
@@ -60,7 +60,7 @@
     """The configuration that the environment names."""
     path = environ.get("EDGE_CONFIG", "")
     try:
-        data = json.loads(content(Path(path)))
+        data = json.loads(read_bytes(Path(path)))
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {path!r} can't be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:  # the latter: brackets in brackets by the thousand
@@ -82,7 +82,7 @@
     raw = data.get("settings", {})
     link = float(data.get("link_bytes_per_s", 0.0))
     settings = replace(read_settings(json.dumps(raw).encode()), has_local_cache=link > 0)
-    check_sound(settings)
+    check_settings(settings)
     limits = raw.get("limits", {})
     machine = data.get("limits", {})
     seed = str(data.get("seed", "0"))
--- a/lupintack/core/settings_update.py
+++ b/lupintack/core/settings_update.py
@@ -8,7 +8,7 @@
 from lupintack.core.core_state import CoreState, RouterCounts
 from lupintack.core.leases import Leases, MeasuredDemand, differ_only_in_leases, measure_demand
 from lupintack.interface import ServiceClass, Settings
-from lupintack.settings.changes import numbered
+from lupintack.settings.changes import assign_class_numbers
 
 ClassIndexes = dict[str, tuple[int, ServiceClass]]
 
@@ -52,7 +52,7 @@
 
 def _number_classes(state: CoreState, settings: Settings, indexes_in_use: set[int]) -> Settings:
     """Return new settings whose classes keep the indexes that they had, and index the classes served."""
-    classes = numbered(state.settings.classes, settings.classes, indexes_in_use)
+    classes = assign_class_numbers(state.settings.classes, settings.classes, indexes_in_use)
     served = {cls.name for cls in settings.classes}
     state.class_indexes = {cls.name: n for n, cls in enumerate(classes) if cls.name in served}
     return replace(settings, classes=classes)
--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -109,7 +109,7 @@
 
 def load(path: Path, classes: tuple[str, ...]) -> Cdni | None:
     """Return the file's content; None where it is absent or switched off."""
-    data = files.read(path)
+    data = files.read_toml(path)
     if data is None or files.is_off(data):
         return None
     found = parse(data, path.name, classes)
@@ -120,7 +120,7 @@
     """Return the content, on or off; raise ConfigError for a fault in it."""
     from lupintack.settings.cdni import File
 
-    file = files.record(File, data, name)
+    file = files.parse_record(File, data, name)
     sites = [_site(one, classes, name) for one in file.host]
     found = Cdni(
         enabled=file.enabled,
--- a/lupintack/node.py
+++ b/lupintack/node.py
@@ -72,12 +72,12 @@
         conf: config.Config,
         cdni: Cdni | None = None,
         operator: Operator | None = None,
-        followed: Discovery | None = None,
+        started_discovery: Discovery | None = None,
     ) -> None:
         """Bind all ports. `followed`: the discovery client, where it was started before."""
         self.conf = conf
         self.operator_settings = operator
-        self.member_table, self.discovery = followed or build_discovery(conf)
+        self.member_table, self.discovery = started_discovery or build_discovery(conf)
         clock = CopyClock(UNIX_OFFSET_US)
         self.core = Core(conf.settings, conf.seed, self.member_table, self.connect, self._local_cache(clock))
         self.platform = Platform(self.core, conf.names.classes, self.is_ready)
@@ -369,12 +369,12 @@
         if self.fleet is not None:
             self.fleet.close()
 
-    def print_ready(self, times: Mapping[str, str]) -> None:
+    def log_ready(self, times: Mapping[str, str]) -> None:
         """Log that requests are served."""
         start = {"node": self.conf.name, "listen": f"{self.conf.listen[0]}:{self.conf.listen[1]}"}
         LOG.info("ready", extra=logs.fields(**start, **times, **self.list_state()))
 
-    def print_counters(self) -> None:
+    def log_counters(self) -> None:
         """Log all counters."""
         gauges = {
             f"http2.{index}.now.{name}": value
--- a/lupintack/operator.py
+++ b/lupintack/operator.py
@@ -20,7 +20,7 @@
     """The file that LUPINTACK_OPERATOR names, or deploy/'s; ConfigError for one that can't be used."""
     named = environ.get("LUPINTACK_OPERATOR")
     path = Path(named or FILE)
-    data = files.read(path)
+    data = files.read_toml(path)
     if data is None:
         if named:
             raise ConfigError(f"LUPINTACK_OPERATOR: no file {named!r}")
@@ -33,7 +33,7 @@
     from lupintack.settings.budget_plan import check_budgets
     from lupintack.settings.operator import Operator
 
-    found = files.record(Operator, data, name)
+    found = files.parse_record(Operator, data, name)
     files.address(found.http2.listen, f"{name}: [http2] listen")
     if found.http2.cdni_listen:
         files.address(found.http2.cdni_listen, f"{name}: [http2] cdni_listen")
--- a/lupintack/reload.py
+++ b/lupintack/reload.py
@@ -27,7 +27,7 @@
 NAME_LISTS = ("zones", "kinds", "reports")  # of `Names`: lists whose order is part of the running state
 
 
-class StreamLimited(Protocol):
+class StreamLimitedFront(Protocol):
     """A front whose stream limits can change while it runs."""
 
     def apply(self, terms: StreamTerms) -> None:
@@ -57,7 +57,7 @@
         """The front that maps class names to indexes."""
 
     @property
-    def http2(self) -> Sequence[StreamLimited]:
+    def http2(self) -> Sequence[StreamLimitedFront]:
         """The HTTP/2 fronts."""
 
 
@@ -65,7 +65,7 @@
     """Read both files again; return whether they apply. A file that is invalid leaves all as it was."""
     try:
         conf = config.load(environ)
-        missing = changes.missing(node.conf.raw, conf.raw)
+        missing = changes.first_missing_key(node.conf.raw, conf.raw)
         if missing:
             raise config.ConfigError(f"EDGE_CONFIG: {missing}: is missing, and the running file has it")
     except config.ConfigError as error:
@@ -120,9 +120,9 @@
         names=dataclasses.replace(conf.names, **running_lists),
         raw=conf.raw,
     )
-    is_followed = conf.discovery_address is not None
+    has_discovery = conf.discovery_address is not None
     node.member_table.set_purge_settle_ms(settings.purge_settle_ms)
-    node.member_table.set_validity(validity_us(settings) if is_followed else FOREVER_US)
+    node.member_table.set_validity(validity_us(settings) if has_discovery else FOREVER_US)
     node.core.enqueue(SettingsUpdate(settings=settings, on_applied=node.platform.apply_settings))
     node.discovery.change_address(conf.discovery_address)
     log_configuration(old, conf, settings.max_attempts)
--- a/lupintack/scale/hollow_process.py
+++ b/lupintack/scale/hollow_process.py
@@ -282,7 +282,7 @@
         """Read and check the file as a SIGHUP does; the content is kept once for all routers."""
         old = self.settings
         self.settings = config.load({"EDGE_CONFIG": self.setup.settings_file, "EDGE_NAME": name})
-        if old is not None and changes.missing(old.raw, self.settings.raw):
+        if old is not None and changes.first_missing_key(old.raw, self.settings.raw):
             LOG.error("a settings file lacks what the one before had")
 
     # Status
--- a/lupintack/scale/script.py
+++ b/lupintack/scale/script.py
@@ -20,7 +20,7 @@
 
 from lupintack.scale.hollow_plan import RouterPlan, ScaleError
 from lupintack.settings.errors import ConfigError
-from lupintack.settings.files import read, record
+from lupintack.settings.files import parse_record, read_toml
 
 SELECTOR = r"^(region|zone|site|router|any):[A-Za-z0-9_.-]+$|^(allocator|voters|voter|all)$"
 
@@ -54,10 +54,10 @@
 def read_script(path: Path, routers: Sequence[RouterPlan], seconds: float) -> Script:
     """The script in this file; ScaleError where it can't be used for these routers and this time."""
     try:
-        data = read(path)
+        data = read_toml(path)
         if data is None:
             raise ScaleError(f"--script: {path}: no such file")
-        script = record(Script, data, path.name)
+        script = parse_record(Script, data, path.name)
     except ConfigError as error:
         raise ScaleError(f"--script: {error}") from None
     for number, fault in enumerate(script.fault):
--- a/lupintack/settings/budget_plan.py
+++ b/lupintack/settings/budget_plan.py
@@ -12,7 +12,7 @@
     from lupintack.budgets.spending import Budget
     from lupintack.settings.operator import Budgets
 
-VOTERS = (1, 3, 5, 7, 9)
+ALLOWED_VOTER_COUNTS = (1, 3, 5, 7, 9)
 
 
 def budget(name: str, whole: int, once: bool, reserved_per_mille: int) -> Budget:
@@ -64,7 +64,7 @@
 
 def check_budgets(table: Budgets, file: str) -> None:
     """ConfigError, in one line, for a table that can't be used as a whole."""
-    if len(set(table.voters)) not in VOTERS:
+    if len(set(table.voters)) not in ALLOWED_VOTER_COUNTS:
         raise ConfigError(f"{file}: [budgets] voters: an odd number of different names is wanted")
     if set(table.per_second) & set(table.at_once):
         raise ConfigError(f"{file}: [budgets] at_once: a name stands in per_second, too")
@@ -83,7 +83,7 @@
         title = f"{file}: [budgets.regions.{region.name}]"
         if not region.name:
             raise ConfigError(f"{title}: a region's name is wanted")
-        if len(region.voters) not in VOTERS or len(set(region.voters)) != len(region.voters):
+        if len(region.voters) not in ALLOWED_VOTER_COUNTS or len(set(region.voters)) != len(region.voters):
             raise ConfigError(f"{title} voters: an odd number of different names is wanted")
         if not region.sites:
             raise ConfigError(f"{title} sites: one is wanted at least")
--- a/lupintack/settings/changes.py
+++ b/lupintack/settings/changes.py
@@ -12,7 +12,7 @@
 from lupintack.settings.instance import MAX_ATTEMPTS_KEY, SERVICES_KEY
 
 
-def check_sound(settings: Settings) -> None:
+def check_settings(settings: Settings) -> None:
     """SettingsError for settings under which requests could not be served."""
     if settings.max_attempts < 1:
         raise SettingsError(f"setting {MAX_ATTEMPTS_KEY}: {settings.max_attempts}: above 0 is wanted")
@@ -25,7 +25,7 @@
         seen.add(cls.name)
 
 
-def missing(before: Mapping[str, Any], after: Mapping[str, Any], path: str = "") -> str:
+def first_missing_key(before: Mapping[str, Any], after: Mapping[str, Any], path: str = "") -> str:
     """The first key that a running router's file has and a new one lacks; empty where there is none.
 
     Guards against a file that was cut or written by halves and still reads: each key that it lacks would be
@@ -36,15 +36,15 @@
             return path + key
         found = ""
         if isinstance(value, Mapping) and isinstance(after[key], Mapping):
-            found = missing(value, after[key], f"{path}{key}.")
+            found = first_missing_key(value, after[key], f"{path}{key}.")
         elif key == SERVICES_KEY and isinstance(value, list) and isinstance(after[key], list):
-            found = lacking(value, after[key], path + key)
+            found = first_missing_class_key(value, after[key], path + key)
         if found:
             return found
     return ""
 
 
-def lacking(before: list[Any], after: list[Any], path: str) -> str:
+def first_missing_class_key(before: list[Any], after: list[Any], path: str) -> str:
     """The first key that every class had and one of the new ones lacks; no class at all lacks the first."""
     known = [one for one in before if isinstance(one, Mapping)]
     common = [key for key in (known[0] if known else {}) if all(key in one for one in known)]
@@ -57,7 +57,7 @@
     return ""
 
 
-def numbered(
+def assign_class_numbers(
     before: tuple[ServiceClass, ...], after: tuple[ServiceClass, ...], used: Collection[int]
 ) -> tuple[ServiceClass, ...]:
     """The classes by number: a name keeps its number, and one in use is not given anew.
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -28,7 +28,7 @@
     Settings,
 )
 from lupintack.peers import resp
-from lupintack.settings.changes import missing, numbered
+from lupintack.settings.changes import assign_class_numbers, first_missing_key
 from tests.helpers import CACHES, member, settings
 from tests.scenario import Scenario
 
@@ -236,9 +236,9 @@
 
 def test_missing_passes_over_what_only_some_classes_have() -> None:
     before = {"services": [{"name": "a", "aim": 1}, {"name": "b"}], "x": {"y": 1}}
-    assert missing(before, {"services": [{"name": "c"}], "x": {"y": 2}, "z": 0}) == ""
-    assert missing(before, {"services": [{"aim": 1}], "x": {"y": 2}}) == "services[0].name"
-    assert missing(before, {"services": [{"name": "c"}], "x": {}}) == "x.y"
+    assert first_missing_key(before, {"services": [{"name": "c"}], "x": {"y": 2}, "z": 0}) == ""
+    assert first_missing_key(before, {"services": [{"aim": 1}], "x": {"y": 2}}) == "services[0].name"
+    assert first_missing_key(before, {"services": [{"name": "c"}], "x": {}}) == "x.y"
 
 
 CLASSES = st.lists(st.sampled_from("abcdef"), unique=True, max_size=6)
@@ -249,7 +249,7 @@
     held: tuple[ServiceClass, ...] = ()
     for names, open_ in steps:
         used = {n for n in open_ if n < len(held)}
-        new = numbered(held, tuple(ServiceClass(name=n) for n in names), used)
+        new = assign_class_numbers(held, tuple(ServiceClass(name=n) for n in names), used)
         assert len({c.name for c in new}) == len(new)
         assert set(names) <= {c.name for c in new}
         for n, old in enumerate(held):
