--- a/lupintack/lifecycle/__init__.py
+++ b/lupintack/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The phases of a process, the operators' bans, and the peers of an upgrade: pure but for `folder`."""
+"""Process phases, operators' bans and the peers of an upgrade. Only `folder` does I/O."""
--- a/lupintack/lifecycle/bans.py
+++ b/lupintack/lifecycle/bans.py
@@ -1,7 +1,7 @@
-"""The operators' bans: members that they exclude and include. Pure; times are Unix ms, given as arguments.
+"""Members that operators exclude and include again. Pure; times are Unix ms and passed as arguments.
 
-A set and not a count: two exclusions and one inclusion leave a member in. Whatever source the member list
-comes from, bans are laid over it.
+Bans are a set, not a count: one inclusion cancels any number of exclusions. They override the member list,
+whatever its source.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 MAX_NAME_CHARS = 256
 MAX_EXCLUDED_MEMBERS = 4096
 MAX_UNIX_MS = 1e15
-INCLUSION_MEMORY_MS = 600_000.0  # longer than any slow start: until then an included member is a new start
+INCLUSION_MEMORY_MS = 600_000.0  # longer than any slow start; until then inclusion counts as a restart
 
 
 class BansError(ValueError):
-    """Stored bans that can't be parsed; the text says what is wrong with them."""
+    """Raised for stored bans that can't be parsed; the text gives the reason."""
 
 
 @dataclass
 class Bans:
-    """Excluded members, and those included again of late, each with the time of the change."""
+    """Excluded members and recently included ones, each with the time of the change."""
 
     excluded: dict[str, float] = field(default_factory=dict)
     included: dict[str, float] = field(default_factory=dict)
@@ -38,7 +38,7 @@
         return True
 
     def include(self, name: str, now_ms: float) -> bool:
-        """Include a member, however often it was excluded; return whether that changed anything."""
+        """Include a member after any number of exclusions; return whether that changed anything."""
         self.included = {
             other: at_ms
             for other, at_ms in self.included.items()
@@ -50,39 +50,39 @@
         return True
 
     def apply_to(self, name: str, state: MemberState, started_ms: float) -> tuple[MemberState, float]:
-        """Return the state and start that hold for a member with this state and start in the list.
+        """Return the effective state and start time of a member that is listed with these.
 
-        An excluded member is draining, even where the list calls it ready. One that was included may have
-        been restarted while it was out: its start is then, or a later one in the list, so it is warming up.
+        An excluded member is draining, even if it is listed as ready. An included member may have been
+        restarted while it was excluded, so it warms up from its inclusion or from a later start in the list.
         """
         if name in self.excluded:
             return (MemberState.DRAINING if state is MemberState.READY else state), started_ms
         return state, max(started_ms, self.included.get(name, 0.0))
 
     def dump(self) -> bytes:
-        """Return the stored form, one line of JSON."""
+        """Return the bans as one line of JSON, as they are stored."""
         stored = {"bans": FORMAT_VERSION, "out": self.excluded, "back": self.included}
         return json.dumps(stored, sort_keys=True).encode() + b"\n"
 
 
 def parse(text: bytes) -> Bans:
-    """Read the stored form; raise BansError for anything else."""
+    """Parse stored bans; raise BansError if the text is not valid."""
     try:
         data = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise BansError(f"not JSON: {error}" if text.strip() else "empty") from None
     if not isinstance(data, dict) or data.get("bans") != FORMAT_VERSION:
-        raise BansError(f"not a state of bans, version {FORMAT_VERSION}")
+        raise BansError(f"not a state of bans of version {FORMAT_VERSION}")
     return Bans(excluded=_parse_times(data, "out"), included=_parse_times(data, "back"))
 
 
 def _parse_times(data: dict[str, object], key: str) -> dict[str, float]:
-    """Read one table of members and times."""
+    """Parse one table of change times by member name."""
     table = data.get(key)
     if not isinstance(table, dict) or len(table) > MAX_EXCLUDED_MEMBERS:
-        raise BansError(f"{key}: an object of at most {MAX_EXCLUDED_MEMBERS} members is wanted")
+        raise BansError(f"{key}: expected an object of at most {MAX_EXCLUDED_MEMBERS} members")
     for name, at_ms in table.items():
-        # The negated comparison also refuses NaN.
+        # The negated comparison also rejects NaN.
         if isinstance(at_ms, bool) or not isinstance(at_ms, (int, float)) or not abs(at_ms) < MAX_UNIX_MS:
-            raise BansError(f"{key}: {name[:40]!r}: a Unix time in ms is wanted, not {at_ms!r}")
+            raise BansError(f"{key}: {name[:40]!r}: expected a Unix time in ms, not {at_ms!r}")
     return {str(name): float(at_ms) for name, at_ms in table.items()}
--- a/lupintack/lifecycle/folder.py
+++ b/lupintack/lifecycle/folder.py
@@ -1,9 +1,8 @@
-"""The folder under `$TMPDIR` that the processes of one router share. The only I/O of this package.
+"""The folder under `$TMPDIR` that the processes of one router share; all I/O of this package.
 
-A process holds a lock on a file of its own for as long as it lives, so that neither a crash nor a reused
-process id leaves a peer that isn't there. Files are replaced atomically, and only under the folder's lock.
-The bans are kept in two files, each synced before it takes its name: whatever a crash cuts short, one of them
-is complete.
+Each process locks a file of its own until it exits, so a crash or a reused process id can't be mistaken for a
+living peer. Files are replaced atomically, and only under the folder's lock. The bans are stored in two
+files, each synced before it is renamed into place, so one of them is complete after a crash.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 from lupintack.logs import fields
 
 LOG = logging.getLogger("lifecycle")
-LOCK_TIMEOUT_S = 0.4  # the admin address answers within 1 s, whatever holds the lock
+LOCK_TIMEOUT_S = 0.4  # the admin address has to answer within 1 s, even if the lock is held
 LOCK_RETRY_INTERVAL_S = 0.005
 MAX_FILE_BYTES = 1 << 20
 PEER_FILE_BYTES = 96
@@ -32,11 +31,11 @@
 
 
 class FolderError(OSError):
-    """The folder can't be used; the text says why."""
+    """Raised for a folder that can't be used; the text gives the reason."""
 
 
 def lock_file(fd: int, timeout_s: float) -> None:
-    """Take an exclusive lock; raise FolderError where another process holds one until the timeout."""
+    """Take an exclusive lock; raise FolderError if another process holds one until the timeout."""
     until = time.monotonic() + timeout_s
     while True:
         try:
@@ -54,10 +53,10 @@
 
 
 def read_ban_files(path: Path) -> list[bytes]:
-    """Return what the files of bans in a folder hold, the preferred one first.
+    """Return the contents of the ban files in a folder, the preferred file first.
 
-    Raises OSError where one exists and none can be read. One that can be read is enough: the copy is written
-    first, and so is never older.
+    Raises OSError if a file exists and none can be read. One readable file is enough: the copy is written
+    first and so is never older than the other.
     """
     texts = []
     failed: OSError | None = None
@@ -77,7 +76,7 @@
 
 
 def replace_file(path: Path, text: bytes) -> None:
-    """Replace a file's content, synced before it takes the name; an OSError leaves the old content."""
+    """Replace a file atomically with synced content; on an OSError the old content stays."""
     new = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
         with open(new, "wb") as file:
@@ -102,7 +101,7 @@
 
 
 class BansStamp(NamedTuple):
-    """Identifies one content of the file of bans."""
+    """Identifies one version of the bans file."""
 
     inode: int
     modified_ns: int
@@ -112,7 +111,7 @@
 class Folder:
     """One router's files: `lock`, `bans.json`, its copy, and `run.PID` of each living process.
 
-    close() leaves the folder. Safe to use from several threads.
+    close() removes this process from the folder. Thread-safe.
     """
 
     def __init__(self, base: str, name: str, listen: str) -> None:
@@ -122,7 +121,7 @@
         self.started_ns = time.monotonic_ns()
         self.read_stamp: BansStamp | None = None
         self.known_peers: dict[str, UpgradePeer] = {}  # by file name, as last read
-        self.has_unreadable_peers = False  # at the last search
+        self.has_unreadable_peers = False  # in the last search
         self.own_fd = -1
         try:
             self.path.mkdir(mode=0o700, exist_ok=True)
@@ -130,10 +129,10 @@
                 self.own_fd = os.open(
                     self.own_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600
                 )
-                # A peer's search may hold the lock for a moment, between the file's creation and this.
+                # A peer's search may briefly hold the lock between the file's creation and this call.
                 lock_file(self.own_fd, LOCK_TIMEOUT_S)
-                # A handoff for an earlier process with this id, which a crash ended: none is written for this
-                # process before it has published that it starts.
+                # This is a handoff for a crashed process with the same id: none is written for this process
+                # before it has published its phase.
                 if self.handoff_path.exists():
                     self.handoff_path.unlink()
         except OSError as error:
@@ -144,38 +143,38 @@
 
     @property
     def age(self) -> ProcessAge:
-        """Where this process stands in the order of starts."""
+        """The key that orders this process among its peers by start."""
         return ProcessAge(self.started_ns, self.pid)
 
     @property
     def own_path(self) -> Path:
-        """This process's own file, locked while it lives."""
+        """This process's own file, locked until it exits."""
         return self.path / f"run.{self.pid}"
 
     @property
     def handoff_path(self) -> Path:
-        """The file in which an older process hands over to this one."""
+        """The file in which an older process writes its handoff for this one."""
         return self.path / f"legacy.{self.pid}"
 
     @property
     def bans_path(self) -> Path:
-        """The file of bans that is read first."""
+        """The bans file that is preferred to its copy."""
         return self.path / BANS_FILE
 
     @contextlib.contextmanager
     def locked(self, timeout_s: float = LOCK_TIMEOUT_S) -> Iterator[None]:
-        """Hold the folder's lock; raise FolderError where another process holds it until the timeout."""
+        """Hold the folder's lock; raise FolderError if another process holds it until the timeout."""
         fd = os.open(self.path / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             lock_file(fd, timeout_s)
             yield
         finally:
-            os.close(fd)  # and the lock with it
+            os.close(fd)  # releases the lock
 
     def write_phase(self, phase: str) -> bool:
-        """Publish this process's phase to its peers; return False where it can't be written now.
+        """Publish this process's phase to its peers; return False if it can't be written now.
 
-        It is one write: a reader sees the old text or the new one.
+        A single write, so a reader gets either the old text or the new one.
         """
         text = json.dumps({"born_ns": self.started_ns, "phase": phase}).encode().ljust(PEER_FILE_BYTES)
         try:
@@ -185,9 +184,9 @@
             return False
 
     def find_peers(self) -> list[UpgradePeer]:
-        """Return the other living processes of this router, and remove files of crashed ones.
+        """Return the other living processes of this router, and remove the files of crashed ones.
 
-        Where a peer's file can't be read, the peer is returned as it was last known.
+        A peer whose file can't be read is returned as it was last known.
         """
         try:
             names = [n for n in os.listdir(self.path) if n.startswith("run.") and n != self.own_path.name]
@@ -199,7 +198,7 @@
         for name in names:
             try:
                 peer = self.read_peer(name)
-            except (OSError, ValueError, KeyError, TypeError, AttributeError):  # or it is just being written
+            except (OSError, ValueError, KeyError, TypeError, AttributeError):  # may be partly written
                 self.has_unreadable_peers = True
                 peer = self.known_peers.get(name)
             if peer is not None:
@@ -208,7 +207,7 @@
         return list(peers.values())
 
     def read_peer(self, name: str) -> UpgradePeer | None:
-        """Return the living process that owns a file, None where it is dead; raise where it is unreadable."""
+        """Return the living process that owns a file, None if it is dead; raise if the file is unreadable."""
         try:
             fd = os.open(self.path / name, os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
@@ -219,16 +218,16 @@
             except BlockingIOError:
                 data = json.loads(os.read(fd, PEER_FILE_BYTES))
                 return UpgradePeer(int(name.partition(".")[2]), int(data["born_ns"]), str(data["phase"]))
-            # A file that is created and not locked yet looks the same: removal checks under the lock.
+            # A file that was just created may not be locked yet, so the removal checks again under the lock.
             fcntl.flock(fd, fcntl.LOCK_UN)
         finally:
             os.close(fd)
-        with contextlib.suppress(OSError):  # the next search tries again
+        with contextlib.suppress(OSError):  # the next search retries
             self.remove_dead_peer(name)
         return None
 
     def remove_dead_peer(self, name: str) -> None:
-        """Remove a dead process's files; raise OSError where it turns out to live."""
+        """Remove the files of a dead process; raise OSError if it is alive."""
         with self.locked():
             fd = os.open(self.path / name, os.O_RDWR | os.O_CLOEXEC)
             try:
@@ -238,14 +237,14 @@
             finally:
                 os.close(fd)
 
-    # The bans
+    # Bans
 
     def bans_changed(self) -> bool:
-        """Return whether the bans were written since they were last read."""
+        """Return whether the bans were written since this process last read them."""
         return self.bans_stamp() != self.read_stamp
 
     def bans_stamp(self) -> BansStamp | None:
-        """Return what identifies the content of the file of bans, None where it can't be read."""
+        """Return the stamp of the bans file, None if it can't be read."""
         try:
             stat = os.stat(self.bans_path)
         except OSError:
@@ -253,9 +252,9 @@
         return BansStamp(stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
     def read_bans(self) -> list[bytes]:
-        """Return the bans as they were last written, and their copy; empty where there are none.
+        """Return the stored bans and their copy; empty if there are none.
 
-        Raises OSError where they can't be read now: `bans_changed` stays true.
+        Raises OSError if they can't be read now; `bans_changed` then stays true.
         """
         stamp = self.bans_stamp()
         texts = read_ban_files(self.path)
@@ -263,15 +262,15 @@
         return texts
 
     def write_bans(self, text: bytes) -> None:
-        """Replace the bans, and their copy before them. The caller holds the folder's lock."""
+        """Replace the copy of the bans, then the bans. The caller holds the folder's lock."""
         replace_file(self.path / BANS_COPY_FILE, text)
         replace_file(self.bans_path, text)
         self.read_stamp = self.bans_stamp()
 
-    # The handoff of an upgrade
+    # Handoffs
 
     def write_handoff(self, pid: int, records: Iterable[bytes]) -> None:
-        """Write a handoff for a process, completely or not at all; raise OSError on failure."""
+        """Write a handoff for a process atomically; raise OSError on failure."""
         new = self.path / f"legacy.{pid}.new"
         try:
             with open(new, "wb") as file:
@@ -282,15 +281,15 @@
             raise
 
     def open_handoff(self) -> BinaryIO | None:
-        """Open and unlink the handoff for this process; return None where there is none.
+        """Open and unlink the handoff for this process; return None if there is none.
 
-        Raises OSError where it can't be opened now.
+        Raises OSError if it can't be opened now.
         """
         try:
             file = open(self.handoff_path, "rb")  # noqa: SIM115 - the caller closes it
         except FileNotFoundError:
             return None
-        with contextlib.suppress(OSError):  # it goes with the next call, or with this process
+        with contextlib.suppress(OSError):  # the next call or close() removes it
             self.handoff_path.unlink(missing_ok=True)
         return file
 
--- a/lupintack/lifecycle/state.py
+++ b/lupintack/lifecycle/state.py
@@ -1,7 +1,7 @@
 """The lifecycle of one process of the router: starting, ready, evacuating, evacuated, stopping.
 
-Pure: times are monotonic microseconds and come as arguments. Ready, `/alive`, evacuate, rejoin, SIGTERM and
-an upgrade all read this state machine; nothing else decides whether the process takes work.
+Pure: times are monotonic microseconds and passed as arguments. This state machine alone decides whether the
+process takes work: ready, `/alive`, evacuate, rejoin, SIGTERM and upgrades all use it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class NodePhase(Enum):
-    """The phase of a process; the values are what `/api/ready`, the log and other processes read."""
+    """The phase of a process; its value appears in `/api/ready`, the log and the folder of the router."""
 
     STARTING = "starting"
     READY = "ready"
@@ -26,23 +26,23 @@
 class EvacuationPace:
     """The stages of an evacuation, in microseconds since it began.
 
-    The load balancer in front checks every 0.1 s, and new connections come for 0.2 s after a failed check.
-    No request may come two seconds before the fourth second.
+    The load balancer in front checks every 0.1 s and opens new connections for up to 0.2 s after a failed
+    check. No request may arrive later than 2 s, which is two seconds before the limit of 4 s.
     """
 
-    answer_close_us: int = 600_000  # until then connections end with their next answer alone
-    idle_limit_us: int = 300_000  # from then on a connection that has been idle for so long is ended
-    final_after_us: int = 1_500_000  # from then on the final limit holds
-    final_idle_limit_us: int = 40_000  # a younger connection may have a request on its way
+    answer_close_us: int = 600_000  # until then a connection ends only with its next answer
+    idle_limit_us: int = 300_000  # from then on a connection that was idle for this long is ended
+    final_after_us: int = 1_500_000  # from then on the final limit applies
+    final_idle_limit_us: int = 40_000  # on a connection idle for less, a request may be in transit
 
 
 @dataclass(frozen=True)
 class ShutdownPlan:
-    """How a process ends after SIGTERM; the times begin there."""
+    """The stages of a shutdown; times count from SIGTERM."""
 
-    closes_after_answers: bool  # each answer closes its connection from the first moment on
-    accept_us: int  # new connections are accepted for so long, and then those that are queued
-    read_us: int  # requests on open connections are read for so long
+    closes_after_answers: bool  # each answer closes its connection from the start
+    accept_us: int  # how long new connections are accepted; then only queued ones
+    read_us: int  # how long requests are read from open connections
 
 
 PLAN_ALONE = ShutdownPlan(closes_after_answers=False, accept_us=450_000, read_us=700_000)
@@ -50,7 +50,7 @@
 
 
 class NodeLifecycle:
-    """The state machine. Not thread-safe: its callers hold one lock."""
+    """The state machine. Not thread-safe: callers share one lock."""
 
     def __init__(self, pace: EvacuationPace | None = None) -> None:
         """Begin in the phase STARTING."""
@@ -70,13 +70,13 @@
         return self.phase in (NodePhase.EVACUATING, NodePhase.EVACUATED)
 
     def on_started(self, now_us: int) -> None:
-        """End the start: the process has all that it needs before the first request."""
+        """End the start: the process can serve its first request."""
         if self.phase is NodePhase.STARTING:
             self.phase = NodePhase.EVACUATING if self.evacuation_requested else NodePhase.READY
             self.evacuating_since_us = now_us
 
     def evacuate(self, now_us: int) -> None:
-        """Take no more work: a process that starts remembers it, one that stops is doing it."""
+        """Stop taking work. A starting process applies it after its start, a stopping one ignores it."""
         if self.phase is NodePhase.STARTING:
             self.evacuation_requested = True
         elif self.phase is NodePhase.READY:
@@ -84,7 +84,7 @@
             self.evacuating_since_us = now_us
 
     def rejoin(self) -> bool:
-        """Take work again, also during an evacuation; return False where the process is stopping."""
+        """Take work again, also during an evacuation; return False if the process is stopping."""
         if self.phase is NodePhase.STOPPING:
             return False
         self.evacuation_requested = False
@@ -97,9 +97,9 @@
         self.phase = NodePhase.STOPPING
 
     def advance(self, now_us: int, connections: int) -> int:
-        """Advance an evacuation; return how long a connection may be idle, negative: without limit.
+        """Advance an evacuation; return how long a connection may be idle in us, negative for no limit.
 
-        `connections`: how many clients' connections are open.
+        `connections` is the number of open client connections.
         """
         if not self.closes_connections:
             return NO_IDLE_LIMIT_US
@@ -114,10 +114,10 @@
 
 
 def plan_shutdown(successor_ready: bool, longest_deadline_us: int) -> ShutdownPlan:
-    """Choose the shutdown: beside a ready successor, which takes what is new, or alone.
+    """Choose the shutdown plan, depending on whether a ready successor takes new connections.
 
-    SIGKILL comes the longest deadline after PLAN_ALONE's reading ends: half of that is left for requests that
-    are read last.
+    SIGKILL follows the end of PLAN_ALONE's reading by the longest deadline. Half of that time is left to
+    answer the requests that are read last.
     """
     if not successor_ready:
         return PLAN_ALONE
--- a/lupintack/lifecycle/upgrade_peer.py
+++ b/lupintack/lifecycle/upgrade_peer.py
@@ -1,7 +1,7 @@
-"""How the processes of one router share its limits and its port while an upgrade runs. Pure.
+"""How the processes of one router share its limits and its port during an upgrade. Pure.
 
-They are one router: descriptors and memory are counted together, and the budget of a member that warms up is
-the router's, not the process's.
+Limits apply to the router, not to a process: its processes together stay within its descriptors and memory,
+and within the slow-start budget of each member.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 from enum import Enum
 from typing import NamedTuple
 
-HANDOFF_MEMORY_SHARE = 0.9  # of the memory that the processes and what is handed over may use together
-PROCESS_MB = 24  # what one process needs without a local cache
+HANDOFF_MEMORY_SHARE = 0.9  # of the memory limit, for the processes and the handoff together
+PROCESS_MB = 24  # memory of one process without a local cache
 MIN_MEMBER_SOCKETS = 8
-HANDOFF_COPIES = 3  # the handoff lies in the old process, in the file and in the new process for a moment
-LISTENER_CLOSED = "closed"  # phase of a process that ends, once it no longer listens
+HANDOFF_COPIES = 3  # for a moment it is in the old process, the file and the new process
+LISTENER_CLOSED = "closed"  # published phase of a stopping process that no longer listens
 
 
 class UpgradeSide(Enum):
     """The side of an upgrade that a process is on."""
 
     ALONE = "alone"
-    OLD = "old"  # there is a younger one
-    NEW = "new"  # there is an older one
+    OLD = "old"  # a younger process exists
+    NEW = "new"  # only older processes exist
 
 
 class ProcessAge(NamedTuple):
-    """Orders the processes of a router: an older one is less. Processes of one machine share the clock."""
+    """Orders the processes of a router, the oldest first. Processes of one machine share the clock."""
 
     started_ns: int
     pid: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class UpgradePeer:
-    """Another living process of this router, as its file in the folder says."""
+    """Another living process of this router, as read from its file in the folder."""
 
     pid: int
     started_ns: int
@@ -42,35 +42,35 @@
 
     @property
     def age(self) -> ProcessAge:
-        """Where this process stands in the order of starts."""
+        """The key that orders this process among its peers by start."""
         return ProcessAge(self.started_ns, self.pid)
 
 
 @dataclass(frozen=True)
 class LimitShare:
-    """What a process may use of the router's limits."""
+    """The part of the router's limits that one process may use."""
 
     member_sockets: int
     memory_mb: int  # the local cache's size is derived from it; 0: no cache
     process_count: int  # processes that share each member's slow-start budget
-    handoff_bytes: int = 0  # of cached copies that the old side may leave to the new one
+    handoff_bytes: int = 0  # of cached copies that the old side may hand off
 
 
 class ListenerTable:
-    """The kernel's table of the listeners on one port, followed by the youngest process to route by index.
+    """Mirrors the kernel's table of listeners on one port, so the youngest process can route by index.
 
-    A listener that closes leaves its index to the last of the table. Where the index that is routed to is
-    empty, the kernel spreads new connections over all listeners, also to those about to close.
+    When a listener closes, the kernel moves the last listener of the table to its index. While the index that
+    is routed to is empty, the kernel spreads new connections over all listeners, also those about to close.
     """
 
     def __init__(self, older: list[UpgradePeer], own_pid: int) -> None:
-        """Fill the table in the order in which the processes began to listen."""
+        """Fill the table in the order in which the processes started to listen."""
         self.own_pid = own_pid
         self.pids = [peer.pid for peer in sorted(older, key=lambda peer: peer.age)] + [own_pid]
 
     @property
     def own_index(self) -> int:
-        """The index that new connections are to go to."""
+        """The index of this process's listener, to which new connections are routed."""
         return self.pids.index(self.own_pid)
 
     def update(self, peers: list[UpgradePeer]) -> bool:
@@ -86,9 +86,9 @@
 
 
 def must_outlast_older(own_age: ProcessAge, peers: list[UpgradePeer], stopping_phase: str) -> bool:
-    """Return whether a process that ends has to go on listening, as an older one is about to close.
+    """Return whether a stopping process has to keep listening because an older one is about to close.
 
-    Guards against connections that go to its queue in the moment in which the older one's index is empty.
+    Guards against connections that reach its queue while the older process's index is empty.
     """
     has_younger = any(peer.age > own_age for peer in peers)
     return has_younger and any(peer.age < own_age and peer.phase == stopping_phase for peer in peers)
@@ -100,7 +100,7 @@
 
 
 def upgrade_side(own_age: ProcessAge, peers: list[UpgradePeer]) -> UpgradeSide:
-    """Return the side of a process; any younger process puts it on the old one."""
+    """Return the side of a process: old if any process is younger."""
     if not peers:
         return UpgradeSide.ALONE
     return UpgradeSide.OLD if any(peer.age > own_age for peer in peers) else UpgradeSide.NEW
@@ -109,16 +109,16 @@
 def share_limits(
     side: UpgradeSide, peer_count: int, sockets: int, memory_mb: int, process_sockets: int
 ) -> LimitShare:
-    """Divide descriptors to members, memory and budgets among the processes.
+    """Divide member connections, memory and slow-start budgets among the processes.
 
-    `sockets`: those for members of a process alone. `process_sockets`: what each further process needs for
-    itself, which comes off before the rest is divided.
+    `sockets` is the number of member connections of a process that runs alone. `process_sockets` is the
+    number of descriptors that each further process needs for itself; they are subtracted before the division.
     """
     if side is UpgradeSide.ALONE:
         return LimitShare(sockets, memory_mb, 1)
     process_count = peer_count + 1
     member_sockets = max(MIN_MEMBER_SOCKETS, (sockets - process_sockets * peer_count) // process_count)
-    # The local cache goes where the clients are going: the old side's gives way at once.
+    # The old side drops its local cache immediately, because clients move to the new one.
     is_old = side is UpgradeSide.OLD
     cache_memory_mb = 0 if is_old else max(0, memory_mb - PROCESS_MB * peer_count)
     spare_mb = max(0.0, memory_mb * HANDOFF_MEMORY_SHARE - PROCESS_MB * process_count) / HANDOFF_COPIES
--- a/lupintack/process/__init__.py
+++ b/lupintack/process/__init__.py
@@ -1,1 +1,1 @@
-"""One process of the router: its phases, and its part in an upgrade."""
+"""Applies the phases of a process, and coordinates its upgrades."""
--- a/lupintack/process/descriptor_plan.py
+++ b/lupintack/process/descriptor_plan.py
@@ -1,20 +1,20 @@
-"""How the file descriptors of a process are divided among its fronts, the members and all else."""
+"""Divides the file descriptors of a process among its fronts, the members and all other uses."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_CLOSING_CONNECTIONS = 64  # clients' connections that they have closed and this process has not
+MAX_CLOSING_CONNECTIONS = 64  # connections closed by clients and not yet by this process
 MAX_CDNI_CONNECTIONS = 48
 MIN_ADMIN_CONNECTIONS = 8
 MAX_ADMIN_CONNECTIONS = 32
 MIN_MEMBER_CONNECTIONS = 8
-RESERVED_DESCRIPTORS = 24  # listeners, discovery, files, and what is just being closed
+RESERVED_DESCRIPTORS = 24  # listeners, discovery, files, and descriptors being closed
 
 
 @dataclass(frozen=True)
 class DescriptorPlan:
-    """Bounds of connections, each kind on its own; the fields of features that are off are 0."""
+    """Maximum numbers of connections by kind; 0 for a feature that is off."""
 
     clients: int
     cdni: int
@@ -24,14 +24,14 @@
 
     @property
     def process_descriptors(self) -> int:
-        """What a process needs beside its connections to clients and members."""
+        """Descriptors that a process needs besides its connections to clients and members."""
         return self.admin + RESERVED_DESCRIPTORS
 
 
 def plan_descriptors(
     sockets: int, has_cdni: bool, http2_connections: int, http2_ports: int, has_admin: bool
 ) -> DescriptorPlan:
-    """Divide `sockets`; `http2_connections` is what the operator allows on each of the HTTP/2 ports."""
+    """Divide `sockets`; `http2_connections` is the operator's limit for each HTTP/2 port."""
     clients = sockets // 3 + min(MAX_CLOSING_CONNECTIONS, sockets // 8)
     cdni = min(MAX_CDNI_CONNECTIONS, sockets // 16) if has_cdni else 0
     http2 = min(http2_connections, sockets // 4)
--- a/lupintack/process/front_server.py
+++ b/lupintack/process/front_server.py
@@ -1,4 +1,4 @@
-"""What the servers of all fronts have in common, as the process's lifecycle and upgrades use it."""
+"""The interface of the servers of all fronts that lifecycle and upgrades use."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 
 class FrontServer(Protocol):
-    """A listener with the clients' connections that it has accepted."""
+    """A listener and the client connections that it has accepted."""
 
     sock: socket.socket
     accepted: bool  # no further connection will be accepted
 
     def open(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
 
     def run(self) -> None:
-        """Accept connections until the end; the body of a thread."""
+        """Accept connections until stopped; runs in a thread of its own."""
 
     def connection_count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
 
     def close_answers(self, closing: bool) -> None:
-        """Let each answer from now on end its connection, or not."""
+        """Set whether each answer closes its connection."""
 
     def end_idle(self, idle_us: int) -> None:
-        """End the connections that have been idle for so long."""
+        """Close connections that have been idle for `idle_us`."""
 
     def drain(self) -> None:
-        """End connections as they become idle."""
+        """Close connections as they become idle."""
 
     def stop_accepting(self) -> None:
-        """Accept what is queued, and nothing more."""
+        """Accept the queued connections, then no more."""
 
     def stop_reading(self) -> None:
-        """Read no more requests."""
+        """Stop reading requests."""
 
     def busy(self) -> bool:
-        """Return whether an answer is still to be written."""
+        """Return whether answers remain to be written."""
--- a/lupintack/process/handoff_exchange.py
+++ b/lupintack/process/handoff_exchange.py
@@ -1,4 +1,4 @@
-"""The handoff of an upgrade: what the old process has learned, and its cached copies, for the new one."""
+"""The handoff of an upgrade: passes learned state and cached copies from the old process to the new one."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class HandoffExchange:
-    """Sends handoffs to processes that start, and receives this process's own before its first request."""
+    """Sends handoffs to starting processes, and receives this process's own before its first request."""
 
     def __init__(self, core: Core, folder: Callable[[], Folder | None]) -> None:
-        """Take `folder`, which returns the shared folder, None where it can't be used now."""
+        """Take `folder`, which returns the shared folder, or None if it can't be used now."""
         self._core = core
         self._folder = folder
-        self._recipient: ProcessAge | None = None  # of the last handoff
+        self._recipient: ProcessAge | None = None  # of the last handoff sent
         self.is_received = False
         self.fault = ""  # why this process's handoff could not be opened
 
     def send(self, folder: Folder, peer: UpgradePeer, max_bytes: int) -> None:
-        """Write a handoff for a peer once; the state is taken in the core's turn, before limits shrink."""
+        """Write a handoff for a peer once. The core collects it in its next turn, before limits shrink."""
         if peer.age == self._recipient:
             return
         self._recipient = peer.age
@@ -47,14 +47,14 @@
         threading.Thread(target=write, name="handoff", daemon=True).start()
 
     def discard_late(self, folder: Folder) -> None:
-        """Remove a handoff that was written after the start had gone on without it."""
+        """Remove a handoff that was written after this process stopped waiting for it."""
         with contextlib.suppress(OSError):
             file = folder.open_handoff()
             if file is not None:
                 file.close()
 
     def receive(self) -> bool:
-        """Take over this process's handoff; return False where there is none that can be opened now."""
+        """Restore this process's handoff; return False if there is none that can be opened now."""
         folder = self._folder()
         if folder is None or self.is_received:
             return False
@@ -78,7 +78,7 @@
                 for header, body in records if adopted else ():
                     if cache is not None:
                         restore_copy(cache, header, body)
-        except Exception as error:  # noqa: BLE001 - a start must not fail for what another process left
+        except Exception as error:  # noqa: BLE001 - a start must not fail because of a damaged handoff
             fault = repr(error)
         copies = len(cache.copies) if cache is not None else 0
         LOG.info("handoff received", extra=fields(learned=adopted, copies=copies, fault=fault or "none"))
--- a/lupintack/process/lifecycle_control.py
+++ b/lupintack/process/lifecycle_control.py
@@ -1,4 +1,4 @@
-"""Carries out the phases of a process: its servers follow them, its peers and the log learn of them."""
+"""Applies the phases of a process to its servers, and publishes them to its peers and the log."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class LifecycleControl:
-    """Applies the lifecycle of one process to its servers. Its methods may be called from any thread."""
+    """Applies the lifecycle of one process to its servers. Thread-safe."""
 
     def __init__(
         self, servers: list[FrontServer], folder: Callable[[], Folder | None], lock: threading.Lock
     ) -> None:
-        """Take `lock`, which guards the lifecycle; no caller may hold it."""
+        """Take `lock`, which guards the lifecycle; callers of the methods must not hold it."""
         self.lifecycle = NodeLifecycle()
         self._servers = servers
         self._folder = folder
         self._lock = lock
-        self._closes_connections = False  # what the servers were last set to
+        self._closes_connections = False  # last applied to the servers
         self._listeners_closed = False
         self._publish_lock = threading.Lock()
         self._logged_phase: NodePhase | None = None
-        self._written_phase = ""  # in this process's file in the folder
+        self._written_phase = ""  # last written to this process's file in the folder
 
     def on_started(self) -> None:
         """End the start."""
@@ -40,20 +40,20 @@
         self.publish_phase()
 
     def evacuate(self) -> None:
-        """Begin an evacuation."""
+        """Start an evacuation."""
         with self._lock:
             self.lifecycle.evacuate(now_us())
         self.update()
 
     def rejoin(self) -> bool:
-        """Take work again; return False where the process is stopping."""
+        """Take work again; return False if the process is stopping."""
         with self._lock:
             done = self.lifecycle.rejoin()
         self.update()
         return done
 
     def begin_shutdown(self) -> None:
-        """Enter the last phase."""
+        """Enter the phase STOPPING."""
         with self._lock:
             self.lifecycle.begin_shutdown()
         self.publish_phase()
@@ -79,7 +79,7 @@
             self.publish_phase()
 
     def publish_phase(self) -> None:
-        """Log a new phase and write it for the peers; a write that fails is retried by the next call."""
+        """Log a new phase and write it for the peers; the next call retries a failed write."""
         with self._publish_lock:
             phase = self.lifecycle.phase
             if phase is not self._logged_phase:
--- a/lupintack/process/upgrade_coordinator.py
+++ b/lupintack/process/upgrade_coordinator.py
@@ -1,4 +1,4 @@
-"""This process's part in an upgrade: limits shared with its peers, the port, and the handoff."""
+"""Coordinates an upgrade with the peers of a process: shared limits, the shared port, and the handoff."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 LOG = logging.getLogger("process")
 CHECK_INTERVAL_S = 0.05
-MAX_WAIT_FOR_OLDER_S = 0.6  # for an older process that ends as well to close its listener first
+MAX_WAIT_FOR_OLDER_S = 0.6  # so that an older stopping process can close its listener first
 NO_AGE = ProcessAge(0, 0)
 
 
 class RouterLimits(NamedTuple):
-    """The router's limits, which the processes of an upgrade share."""
+    """The router's limits, shared by its processes during an upgrade."""
 
     member_sockets: int
     memory_mb: int
@@ -45,7 +45,7 @@
 
 
 class UpgradeCoordinator:
-    """Follows the other processes of this router through the shared folder."""
+    """Tracks the other processes of this router through the shared folder."""
 
     def __init__(
         self,
@@ -56,29 +56,29 @@
         folder: Callable[[], Folder | None],
         lifecycle: NodeLifecycle,
     ) -> None:
-        """Take `folder`, which returns the shared folder, None where it can't be used now."""
+        """Take `folder`, which returns the shared folder, or None if it can't be used now."""
         self._core = core
         self._sockets = sockets
         self._servers = servers
         self._limits = limits
         self._folder = folder
         self._lifecycle = lifecycle
-        self._lock = threading.Lock()  # SIGTERM updates the peers, too
+        self._lock = threading.Lock()  # the shutdown updates the peers on another thread
         self._limit_share = LimitShare(limits.member_sockets, limits.memory_mb, 1)
-        self._listener_table: ListenerTable | None = None  # where this process is the youngest on the port
+        self._listener_table: ListenerTable | None = None  # set while this is the youngest process
         self.peers: list[UpgradePeer] = []
         self.handoff = HandoffExchange(core, folder)
 
     def is_older_ready(self) -> bool:
-        """Return whether an older process of this router serves: nothing is lost while this one waits."""
+        """Return whether an older process of this router serves, so that this one may wait."""
         return any(peer.phase == NodePhase.READY.value for peer in self.peers)
 
     def is_handoff_awaited(self) -> bool:
-        """Return whether an older process may still write a handoff; it serves meanwhile."""
+        """Return whether an older process, which still serves, may still write a handoff."""
         return self._folder() is not None and not self.handoff.is_received and self.is_older_ready()
 
     def route_new_connections(self) -> None:
-        """Route new connections to this process, where an older one listens, too."""
+        """Route new connections to this process if an older one also listens."""
         folder = self._folder()
         if self.peers and folder is not None:
             self._listener_table = ListenerTable(self.peers, folder.pid)
@@ -88,7 +88,7 @@
     def wait_for_older(self) -> None:
         """Wait before this process stops listening.
 
-        An older process that ends as well gets the time to close, and the youngest the time to route anew.
+        Gives an older stopping process time to close, and the youngest process time to update its routing.
         """
         until_s, wait_s = time.monotonic() + MAX_WAIT_FOR_OLDER_S, 0.0
         while (folder := self._folder()) is not None and time.monotonic() < until_s:
@@ -99,7 +99,7 @@
         time.sleep(wait_s)
 
     def plan_shutdown(self, longest_deadline_us: int) -> ShutdownPlan:
-        """Choose how to shut down, by whether a younger process is ready."""
+        """Choose a shutdown plan, depending on whether a younger process is ready."""
         self.update_peers()
         folder = self._folder()
         own_age = folder.age if folder is not None else NO_AGE
@@ -117,7 +117,7 @@
         side = upgrade_side(folder.age, peers)
         self.peers = peers
         self._update_routing(side, peers)
-        # A handoff to a process that starts is for the start alone: this runs beside it.
+        # A handoff is only used during the start; this method also runs while the start receives it.
         if peers and self._lifecycle.phase is not NodePhase.STARTING:
             self.handoff.discard_late(folder)
         limit_share = share_limits(side, len(peers), *self._limits)
@@ -129,7 +129,7 @@
 
     def _update_routing(self, side: UpgradeSide, peers: list[UpgradePeer]) -> None:
         if side is UpgradeSide.OLD:
-            self._listener_table = None  # the younger one routes
+            self._listener_table = None  # a younger process routes
         elif self._listener_table is not None and self._listener_table.update(peers):
             index = self._listener_table.own_index
             done = self._route_to(index)
@@ -139,7 +139,7 @@
         return all([route_new_connections(server.sock, index) for server in self._servers])
 
     def _send_handoff(self, folder: Folder, peer: UpgradePeer, max_bytes: int) -> None:
-        """Hand over to a process that starts, unless one between the two has more to hand over."""
+        """Send a handoff to a starting process, unless a younger ready process will send one."""
         if not self._lifecycle.is_ready or peer.phase != NodePhase.STARTING.value:
             return
         if not has_younger_in_phase(folder.age, self.peers, NodePhase.READY.value):
