--- a/lupintack/__main__.py
+++ b/lupintack/__main__.py
@@ -1,7 +1,7 @@
-"""Starts one edge router, and ends it on SIGTERM.
+"""Runs one edge router until SIGTERM.
 
-Nothing of the program is imported before the signals are blocked: SIGHUP, for a new configuration, may come
-at any time, and until then it ends the process.
+The package's modules are imported only after the signals are blocked: SIGHUP may arrive at any time to reload
+the configuration, and would end the process before that.
 """
 
 from __future__ import annotations
@@ -17,38 +17,36 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # nothing of the program is imported before the signals are blocked
+if TYPE_CHECKING:  # at runtime, imported only after the signals are blocked
     from lupintack.node import Node
 
 THREAD_STACK_BYTES = 256 * 1024
-SWITCH_INTERVAL_S = (
-    0.02  # turns of the core are short; every thread that waits for the interpreter wakes this often
-)
-# Nothing in the path of a request makes cycles, and a full collection is a stall.
+SWITCH_INTERVAL_S = 0.02  # turns of the core are short; each thread waiting for the GIL wakes this often
+# Requests create no reference cycles, and a full collection stalls the process.
 GC_THRESHOLDS = (50_000, 20, 50)
 SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP}
 END_SIGNALS = {signal.SIGTERM, signal.SIGINT}
-START_CHECK_INTERVAL_S = 0.01  # between two checks of what a start waits for
-MAX_HANDOFF_WAIT_S = (
-    3.0  # of a start beside an older process that serves, which may be kept from running for a moment
-)
+START_CHECK_INTERVAL_S = 0.01  # between checks of the conditions of a start
+MAX_HANDOFF_WAIT_S = 3.0  # at a start while an older process serves, which may not be scheduled for a moment
 
 
 class StartTimes:
-    """When the process began, and its CPU time in seconds at the end of each part of the start."""
+    """The start time of the process, and its CPU time in seconds at the end of each part of the start."""
 
     def __init__(self) -> None:
-        """Start the clock; the CPU time until now is the interpreter's."""
+        """Record the start; the CPU time so far is the interpreter's."""
         self.started_s = time.monotonic()
         self.cpu_s = [0.0, time.process_time()]
 
     def end_part(self) -> None:
-        """Note the end of a part of the start."""
+        """Record the end of a part of the start."""
         self.cpu_s.append(time.process_time())
 
     def as_log_fields(self) -> dict[str, str]:
-        """Return fields for the log line `ready`; cpu_ms: interpreter, list, imports, node."""
-        parts = "/".join(f"{(b - a) * 1000:.0f}" for a, b in zip(self.cpu_s, self.cpu_s[1:], strict=False))
+        """Return fields for the log line `ready`; the parts of cpu_ms: interpreter, list, imports, node."""
+        parts = "/".join(
+            f"{(end - begin) * 1000:.0f}" for begin, end in zip(self.cpu_s, self.cpu_s[1:], strict=False)
+        )
         return {"cpu_ms": parts, "start_ms": f"{(time.monotonic() - self.started_s) * 1000:.0f}"}
 
 
@@ -67,7 +65,7 @@
             node.abandon()
             return 0
         node.serve()
-    except (ConfigError, OSError) as error:  # also of ports and of the router's own name
+    except (ConfigError, OSError) as error:  # OSError: also ports and the router's own name
         print(f"lupintack: {error}", file=sys.stderr)
         return 2
     times.end_part()
@@ -79,14 +77,14 @@
 
 
 def build(times: StartTimes) -> Node:
-    """Build the router, with its ports bound; raise ConfigError or OSError where that fails."""
+    """Build the router and bind its ports; raise ConfigError or OSError on failure."""
     from lupintack import config, logs, operator
     from lupintack.discovery.setup import build_discovery
 
     conf = config.load(os.environ)
     logs.set_up(conf.name)
     started_discovery = build_discovery(conf)
-    # Discovery takes up to a second to prove the list, so it starts before the rest is imported.
+    # Discovery needs up to a second to prove the list, so it starts before the other imports.
     started_discovery.client.start(spawn)
     times.end_part()
     from lupintack.fronts.cdni.conf import FILE, load
@@ -106,43 +104,43 @@
 
 
 def wait_until(node: Node, done: Callable[[], bool], until_s: float) -> bool:
-    """Wait until `done()` or a time; return False where the process is to end, also where it is done."""
+    """Wait for `done()` or a monotonic time; return False if a signal ends the process, even if done."""
     while not signal.sigpending() & END_SIGNALS:
         if done() or time.monotonic() >= until_s:
             return True
-        got = signal.sigtimedwait(SIGNALS, START_CHECK_INTERVAL_S)
-        if got is None:
+        received = signal.sigtimedwait(SIGNALS, START_CHECK_INTERVAL_S)
+        if received is None:
             continue
-        if got.si_signo in END_SIGNALS:
+        if received.si_signo in END_SIGNALS:
             return False
-        on_signal(node, got.si_signo)
+        on_signal(node, received.si_signo)
     return False
 
 
-def wait_for_start(node: Node, began_s: float) -> bool:
+def wait_for_start(node: Node, started_s: float) -> bool:
     """Wait for a current list, and then for an older process's handoff, each for a bounded time.
 
-    Returns False where the process is to end.
+    Returns False if a signal ends the process.
     """
-    return wait_until(node, node.list_is_proved, began_s + node.list_wait_s()) and wait_until(
+    return wait_until(node, node.list_is_proved, started_s + node.list_wait_s()) and wait_until(
         node, node.handoff_is_over, time.monotonic() + MAX_HANDOFF_WAIT_S
     )
 
 
 def wait_for_end(node: Node) -> float:
-    """Handle signals until one ends the process; return when that came at the earliest, in monotonic seconds.
+    """Handle signals until one ends the process; return its earliest possible arrival in monotonic seconds.
 
-    One that comes while another is handled counts from the beginning of that: the kill behind it is due by
-    when it came. An end goes before whatever else is pending.
+    A signal that arrives while another is handled counts from the start of that handling, because SIGKILL
+    follows its arrival by a fixed time. A signal that ends the process precedes all other pending ones.
     """
-    began_s = time.monotonic()
+    earliest_s = time.monotonic()
     while not signal.sigpending() & END_SIGNALS:
-        got = signal.sigwait(SIGNALS)
-        began_s = time.monotonic()
-        if got in END_SIGNALS or signal.sigpending() & END_SIGNALS:
+        received = signal.sigwait(SIGNALS)
+        earliest_s = time.monotonic()
+        if received in END_SIGNALS or signal.sigpending() & END_SIGNALS:
             break
-        on_signal(node, got)
-    return began_s
+        on_signal(node, received)
+    return earliest_s
 
 
 def on_signal(node: Node, number: int) -> None:
@@ -154,10 +152,10 @@
 
 
 def start() -> None:
-    """Run the program and end the process."""
+    """Run the router and exit the process."""
     code = main()
     logging.shutdown()
-    os._exit(code)  # daemon threads blocked in sockets would only delay the interpreter's end
+    os._exit(code)  # skips the interpreter's shutdown, which daemon threads blocked in sockets would delay
 
 
 if __name__ == "__main__":
--- a/lupintack/admin_service.py
+++ b/lupintack/admin_service.py
@@ -1,7 +1,7 @@
-"""Carries out the operators' commands to one running process, and follows its peers and the clock.
+"""Executes operators' commands to one running process, and periodically updates its phase, peers and bans.
 
-It asks the pure parts of `lifecycle/`, and acts on the fronts, the member table and the core through
-`process/`. Commands run on the threads of the admin address's connections and never wait for the core.
+Decisions are made by the pure parts of `lifecycle/` and applied to the fronts, the member table and the core
+through `process/`. Commands run on the connection threads of the admin address and never wait for the core.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from lupintack.process.upgrade_coordinator import CHECK_INTERVAL_S, RouterLimits, UpgradeCoordinator
 
 LOG = logging.getLogger("admin")
-END_SIGNALS = {signal.SIGTERM, signal.SIGINT}  # blocked at a start, and so pending
-MAX_JOIN_S = 0.5  # of a start, for a folder that can't be used at first
-MAX_JOIN_WITHOUT_BANS_S = 4.0  # where saved bans can't be read: as long as for a list that isn't proved
+END_SIGNALS = {signal.SIGTERM, signal.SIGINT}  # blocked during the start, so they stay pending
+MAX_JOIN_S = 0.5  # at a start, while the folder can't be used
+MAX_JOIN_WITHOUT_BANS_S = 4.0  # while saved bans can't be read; as long as for an unproved list
 
 
 class AdminService:
@@ -43,11 +43,11 @@
         memory_mb: int,
         process_sockets: int,
     ) -> None:
-        """Take `process_sockets`: descriptors that a process needs beside those to clients and members."""
+        """Take `process_sockets`: descriptors that a process needs besides those to clients and members."""
         self.core = core
         self.member_table = member_table
         self.ban_keeper = BanKeeper(member_table)
-        self.lock = threading.Lock()  # of the lifecycle, and of changes to bans
+        self.lock = threading.Lock()  # guards the lifecycle and changes to bans
         self.control = LifecycleControl(servers, self._shared_folder, self.lock)
         self.lifecycle: NodeLifecycle = self.control.lifecycle
         limits = RouterLimits(sockets.max_connections, memory_mb, process_sockets)
@@ -55,13 +55,13 @@
 
     @property
     def folder(self) -> Folder | None:
-        """The folder that the processes of this router share, None where it can't be used now."""
+        """The folder that the processes of this router share, None if it can't be used now."""
         return self.ban_keeper.folder
 
     def _shared_folder(self) -> Folder | None:
         return self.ban_keeper.folder
 
-    # The operators' commands
+    # Operators' commands
 
     def ready(self) -> AdminResult:
         """Return whether the load balancer should send work here; the text names the phase."""
@@ -74,7 +74,7 @@
         return AdminResult(200 if self.lifecycle.is_ready else 503, f"{phase.value}; list {known}{served}")
 
     def exclude(self, name: str) -> AdminResult:
-        """Exclude a member: nothing is sent to it from before the answer on."""
+        """Exclude a member; nothing is sent to it once this returns."""
         member = self.member_table.find(name)
         if len(name) > MAX_NAME_CHARS or (member is None and name not in self.member_table.bans.excluded):
             return AdminResult(404, "no such cache is listed")
@@ -91,7 +91,7 @@
         return AdminResult(200, f"out{' already' if was_excluded else ''}{self._shortage_warning(name)}")
 
     def include(self, name: str) -> AdminResult:
-        """Include a member again, however often it was excluded."""
+        """Include a member again after any number of exclusions."""
         if name not in self.member_table.bans.excluded and self.member_table.find(name) is None:
             return AdminResult(404, "no such cache is listed or out")
         with self.lock:
@@ -105,7 +105,7 @@
         return AdminResult(200, "back, held to be cold" if was_excluded else "was not out")
 
     def evacuate(self) -> AdminResult:
-        """Begin an evacuation: clients are sent elsewhere, and their connections end."""
+        """Start an evacuation: clients are sent elsewhere, and their connections are closed."""
         self.control.evacuate()
         return AdminResult(200, self.lifecycle.phase.value)
 
@@ -115,7 +115,7 @@
         return AdminResult(200 if done else 409, self.lifecycle.phase.value)
 
     def _shortage_warning(self, name: str) -> str:
-        """Return a warning where a zone has no usable cache left, or the router no parent; else ""."""
+        """Return a warning if the zone has no usable cache left, or the router no parent; else ""."""
         member = self.member_table.find(name)
         if member is None:
             return ""
@@ -131,19 +131,19 @@
         has_cache = any(other.zone == member.zone and other.kind not in upstream_kinds for other in usable)
         return "" if has_cache else "; no cache of its location is left"
 
-    # The process
+    # Process lifecycle
 
     def join(self, location: FolderLocation | None) -> None:
         """Join the router's other processes before the first request.
 
-        The saved bans are in force from the start, also where nothing can be written there now.
+        Saved bans are in force from the start, even if nothing can be written to the folder now.
         """
         self.ban_keeper.location = location
         if location is None:
             return
         started_s = time.monotonic()
         while not self._try_join():
-            # A start can do without its peers; without the bans, excluded members would get traffic again.
+            # A start is possible without peers; without bans, excluded members would get traffic again.
             limit_s = MAX_JOIN_WITHOUT_BANS_S if self.ban_keeper.are_bans_unreadable else MAX_JOIN_S
             if time.monotonic() - started_s >= limit_s or signal.sigpending() & END_SIGNALS:
                 break
@@ -156,7 +156,7 @@
         return done and self.folder is not None and not self.folder.has_unreadable_peers
 
     def begin_shutdown(self, longest_deadline_us: int) -> ShutdownPlan:
-        """Enter the last phase after SIGTERM; return how to shut down."""
+        """Enter the phase STOPPING after SIGTERM; return the shutdown plan."""
         self.control.begin_shutdown()
         return self.upgrade.plan_shutdown(longest_deadline_us)
 
@@ -165,7 +165,7 @@
         self.ban_keeper.close()
 
     def run(self) -> None:
-        """Follow the lifecycle, the peers and the bans until the core is closed; the body of a thread."""
+        """Update the lifecycle, the peers and the bans until the core stops; runs in a thread of its own."""
         while not self.core.is_stopped:
             time.sleep(CHECK_INTERVAL_S)
             try:
@@ -173,5 +173,5 @@
                 self.upgrade.update_peers()
                 with self.lock:
                     self.ban_keeper.refresh(self.lifecycle.phase.value)
-            except Exception:  # the fault of one round must not end the others
+            except Exception:  # a failed round must not end the thread
                 LOG.exception("admin check failed")
--- a/lupintack/node.py
+++ b/lupintack/node.py
@@ -1,4 +1,4 @@
-"""One edge router: the core between its fronts and its members, built, started and stopped."""
+"""One edge router: builds, starts and stops the core, the fronts and the links to members."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
     from lupintack.settings.operator import Operator
 
 LOG = logging.getLogger("lupintack")
-MAX_FIRST_CONNECTIONS = 8  # to members without one, where the others have taken all that members may have
+MAX_FIRST_CONNECTIONS = 8  # connections to members without one, while all others are in use
 MAX_CDNI_BODY_BYTES = 65536
-ACCEPT_AFTER_SIGTERM_S = 0.7  # a request that comes within it gets its answer
-MAX_ANSWER_S = 3.0  # a longer deadline counts as this: SIGKILL comes so long after the last request
-KILL_MARGIN_S = 0.05  # the process ends so long before SIGKILL
-MAX_LIST_WAIT_S = 4.0  # of a start; with the start itself it stays under the 6 s of a short day
-MAX_UPGRADE_LIST_WAIT_S = 20.0  # beside an older process that serves: every start is ready within 30 s
+ACCEPT_AFTER_SIGTERM_S = 0.7  # requests that arrive within this time are answered
+MAX_ANSWER_S = 3.0  # SIGKILL follows the last request by this; longer deadlines are capped to it
+KILL_MARGIN_S = 0.05  # the process exits this long before SIGKILL
+MAX_LIST_WAIT_S = 4.0  # at a start, which with its other parts stays under the 6 s of a short day
+MAX_UPGRADE_LIST_WAIT_S = 20.0  # while an older process serves; each start must be ready within 30 s
 BUSY_CHECK_INTERVAL_S = 0.01
-FLUSH_MARGIN_S = 0.25  # so long before the end requests are failed, and slow clients read their answers
+FLUSH_MARGIN_S = 0.25  # open requests are failed this long before the exit, so slow clients can read answers
 
 
 def spawn(target: Callable[[], None], name: str) -> None:
@@ -57,14 +57,14 @@
 
 
 def folder_location(conf: config.Config) -> FolderLocation | None:
-    """Return where the folder is that the processes of one router share; None without a folder for it."""
+    """Return the location of the folder that the processes of a router share, None if none is configured."""
     return FolderLocation(conf.tmp, conf.name, f"{conf.listen[0]}:{conf.listen[1]}") if conf.tmp else None
 
 
 class Node:
-    """One edge router: the core between its fronts and its members.
+    """One edge router: the core, its fronts, and its links to members.
 
-    start(), or begin() and serve(), start it. stop() answers all requests first, end() just ends its threads.
+    start(), or begin() and serve(), start it. stop() answers all requests first; end() only ends its threads.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         operator: Operator | None = None,
         started_discovery: Discovery | None = None,
     ) -> None:
-        """Bind all ports. `followed`: the discovery client, where it was started before."""
+        """Bind all ports; `started_discovery` is a discovery client that already runs."""
         self.conf = conf
         self.operator_settings = operator
         self.member_table, self.discovery = started_discovery or build_discovery(conf)
@@ -153,7 +153,7 @@
         return create_transport(self.conf, self.operator_settings, self.core, self.admin_service)
 
     def _build_admin(self, max_connections: int) -> Http1Server | None:
-        """Bind the admin address, where there is one."""
+        """Bind the admin address, if it is configured."""
         if self.conf.admin is None:
             return None
         from lupintack.fronts.admin import MAX_BODY_BYTES as MAX_CALL_BYTES
@@ -166,7 +166,7 @@
         )
 
     def _build_cdni(self, cdni: Cdni | None, max_connections: int) -> CdniFront | None:
-        """Bind the CDNI front, where it is on, and add its server."""
+        """Bind the CDNI front and add its server, if CDNI is enabled."""
         if cdni is None:
             return None
         from lupintack.fronts.cdni.front import CdniFront
@@ -187,7 +187,7 @@
     def _build_http2(
         self, http2: Http2Settings, cdni_front: CdniFront | None, max_connections: int
     ) -> list[Http2Server]:
-        """Bind the HTTP/2 ports: that of the platform's clients, and that of CDNI where both are on."""
+        """Bind the HTTP/2 port for the platform's clients, and the one for CDNI if both are enabled."""
         servers = [
             self._http2_server(
                 http2,
@@ -241,29 +241,29 @@
         )
 
     def connect(self, number: int, endpoint: Endpoint) -> MemberLink:
-        """Make the link to a member that is sent to for the first time."""
+        """Create the link to a member when it is first sent to."""
         if endpoint.dial is None:
             raise ValueError(f"member {endpoint.name!r} has no address")
         return Peer(endpoint.name, endpoint.dial, self.terms, self.core.on_attempt_result, spawn)
 
     def start(self) -> None:
-        """Begin, wait a bounded time for the list, and serve; does not wait for a handoff."""
+        """Begin, wait a bounded time for a proved list, and serve; don't wait for a handoff."""
         self.begin()
         self.member_table.validity.confirmed.wait(self.list_wait_s())
         self.serve()
 
     def begin(self) -> None:
-        """Start all but the fronts: the initial list, discovery, members, and the admin address."""
+        """Start everything but the fronts: the initial list, discovery, members, and the admin address."""
         if self.conf.admin is not None:
             self.admin_service.join(folder_location(self.conf))
-        first: list[TableChange] = []
-        self.member_table.notify = first.append
+        initial_changes: list[TableChange] = []
+        self.member_table.notify = initial_changes.append
         while not self.member_table.mailbox.empty():
             update = self.member_table.mailbox.get()
             if update is not None:
                 self.member_table.receive(update)
-        self.core.run_turn([*first])
-        if not first:
+        self.core.run_turn([*initial_changes])
+        if not initial_changes:
             self.core.router.handle(module_ms(now_us()), [MemberList(ListKind.CACHED)])
         if self.admin is not None:
             self.admin.open()
@@ -276,7 +276,7 @@
             spawn(self.admin_service.run, "admin service")
 
     def list_wait_s(self) -> float:
-        """Return how long a start may wait for the list: longer beside an older process that serves."""
+        """Return how long a start may wait for a proved list: longer while an older process serves."""
         return MAX_UPGRADE_LIST_WAIT_S if self.admin_service.upgrade.is_older_ready() else MAX_LIST_WAIT_S
 
     def list_is_proved(self) -> bool:
@@ -284,12 +284,12 @@
         return self.member_table.validity.confirmed.is_set()
 
     def handoff_is_over(self) -> bool:
-        """Receive an older process's handoff; return whether there is none to wait for any more."""
+        """Receive an older process's handoff if it is there; return False if it has to be waited for."""
         upgrade = self.admin_service.upgrade
         return upgrade.handoff.receive() or not upgrade.is_handoff_awaited()
 
     def serve(self) -> None:
-        """Accept requests: with a list that is current, or with the origin alone until it is."""
+        """Accept requests; without a proved list, the origin alone serves until there is one."""
         if not self.list_is_proved():
             LOG.error(
                 "discovery has proved no list: the origin serves alone",
@@ -298,7 +298,7 @@
         if not self.handoff_is_over():
             fault = self.admin_service.upgrade.handoff.fault or "none"
             LOG.info("no handoff received", extra=logs.fields(fault=fault))
-        # Whoever is told that this process is ready may connect to any of its ports; the first has `/alive`.
+        # The first server answers `/alive`: clients may connect to any port once it reports ready.
         for server in reversed(self.servers):
             server.open()
         self.admin_service.control.on_started()
@@ -318,7 +318,7 @@
         }
 
     def abandon(self) -> None:
-        """End after a SIGTERM that came before anything was served."""
+        """Stop after a SIGTERM that arrived before requests were served."""
         self.admin_service.close()
         LOG.info("stopped before it served", extra=logs.fields(node=self.conf.name))
 
@@ -327,9 +327,9 @@
         reload_files(self, environ)
 
     def stop(self, terminated_s: float | None = None) -> None:
-        """Shut down after SIGTERM: accept what still comes for a moment, and answer every request.
+        """Shut down after SIGTERM: keep accepting for a short time, and answer every request.
 
-        `terminated_s`: when the signal came, in monotonic seconds; None: now.
+        `terminated_s` is the monotonic time of the signal in seconds; None means now.
         """
         terminated_s = time.monotonic() if terminated_s is None else terminated_s
         longest_s = max((cls.deadline_ms for cls in self.core.settings.classes), default=0.0) / 1000.0
@@ -351,7 +351,7 @@
         answered = threading.Event()
         self.core.enqueue(Shutdown(answered.set))
         if not answered.wait(end_s - FLUSH_MARGIN_S - time.monotonic()):
-            self.core.enqueue(FailOpenRequests())  # they are answered before SIGKILL would cut them off
+            self.core.enqueue(FailOpenRequests())  # so that they are answered before SIGKILL
         while any(server.busy() for server in self.servers) and time.monotonic() < end_s:
             time.sleep(BUSY_CHECK_INTERVAL_S)
         self.admin_service.close()
@@ -359,7 +359,7 @@
             self.fleet.close()
 
     def end(self) -> None:
-        """End every thread, for a program that goes on without this node; requests are not answered."""
+        """End all threads without answering requests; for programs that outlive the node."""
         self.discovery.stopped.set()
         for server in (*self.servers, *([self.admin] if self.admin is not None else [])):
             server.stop_accepting()
--- a/lupintack/reload.py
+++ b/lupintack/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: both files are read and checked first, then what can change while running is applied."""
+"""Reloads on SIGHUP: reads and checks both files, then applies the changes that need no restart."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from lupintack.limits.streams import StreamTerms
 from lupintack.settings import changes
 
-if TYPE_CHECKING:  # its import costs memory, and is made only where a feature is on
+if TYPE_CHECKING:  # importing it costs memory, so it is imported only if a feature is on
     from lupintack.settings.operator import Operator
 
 LOG = logging.getLogger("lupintack")
 RELOADABLE_FIELDS = ("discovery_address", "settings", "names", "raw")  # of `Config`
-STARTUP_FIELDS = ("initial_log", "tmp")  # of `Config`: used by the start alone
+STARTUP_FIELDS = ("initial_log", "tmp")  # of `Config`: only used by the start
 NAME_LISTS = ("zones", "kinds", "reports")  # of `Names`: lists whose order is part of the running state
 
 
 class StreamLimitedFront(Protocol):
-    """A front whose stream limits can change while it runs."""
+    """A front whose stream limits can be reloaded."""
 
     def apply(self, terms: StreamTerms) -> None:
         """Apply new limits."""
 
 
 class ReloadableNode(Protocol):
-    """The parts of a node that a reload changes; the node's module imports this one."""
+    """The parts of a node that a reload changes; a protocol, because the node's module imports this one."""
 
     conf: config.Config
     operator_settings: Operator | None
@@ -62,12 +62,12 @@
 
 
 def reload_files(node: ReloadableNode, environ: Mapping[str, str]) -> bool:
-    """Read both files again; return whether they apply. A file that is invalid leaves all as it was."""
+    """Reload both files; return whether they were applied. An invalid file leaves everything unchanged."""
     try:
         conf = config.load(environ)
-        missing = changes.first_missing_key(node.conf.raw, conf.raw)
-        if missing:
-            raise config.ConfigError(f"EDGE_CONFIG: {missing}: is missing, and the running file has it")
+        missing_key = changes.first_missing_key(node.conf.raw, conf.raw)
+        if missing_key:
+            raise config.ConfigError(f"EDGE_CONFIG: {missing_key}: is missing, and the running file has it")
     except config.ConfigError as error:
         report_rejection(node, "new configuration can't be used, the old one is kept", error)
         return False
@@ -77,7 +77,7 @@
 def reload_operator_file(
     node: ReloadableNode, environ: Mapping[str, str], apply_first: Callable[[], None] = lambda: None
 ) -> bool:
-    """Read the operator file again; return whether it applies. `apply_first` is called where it does."""
+    """Reload the operator file; return whether it was applied. If so, `apply_first` is called before."""
     try:
         operator_settings = operator.load(environ)
     except config.ConfigError as error:
@@ -90,19 +90,19 @@
 
 
 def report_rejection(node: ReloadableNode, text: str, error: config.ConfigError) -> None:
-    """Log and count files that are not applied."""
+    """Log and count a rejected file."""
     LOG.error(text, extra=logs.fields(reason=error))
     node.core.counters.increment("reload.refused")
 
 
 def report_ignored(names: Sequence[str]) -> None:
-    """Log the changes that need a restart, if there are any."""
+    """Log the changes that need a restart, if any."""
     if names:
         LOG.warning("changes ignored until the next start", extra=logs.fields(names=",".join(names)))
 
 
 def apply_configuration(node: ReloadableNode, conf: config.Config) -> None:
-    """Apply the platform's file: the settings in one turn of the core, and the discovery address."""
+    """Apply the platform's file: the settings, in one turn of the core, and the discovery address."""
     old = node.conf
     ignored = restart_only_changes(old, conf)
     settings = conf.settings
@@ -129,24 +129,24 @@
 
 
 def restart_only_changes(old: config.Config, new: config.Config) -> list[str]:
-    """Return the names of fields that differ and need a restart."""
+    """Return the names of changed fields that need a restart."""
     excluded = RELOADABLE_FIELDS + STARTUP_FIELDS
     names = [field.name for field in dataclasses.fields(new) if field.name not in excluded]
     return [name for name in names if getattr(new, name) != getattr(old, name)]
 
 
 def log_configuration(old: config.Config, new: config.Config, max_attempts: int) -> None:
-    """Log a configuration that was applied, with the request classes that it adds and removes."""
+    """Log an applied configuration with the request classes that it adds and removes."""
     before, after = set(old.names.classes), set(new.names.classes)
     added, removed = ",".join(sorted(after - before)), ",".join(sorted(before - after))
-    found = logs.fields(
+    applied = logs.fields(
         discovery=new.discovery_address, added=added, removed=removed, attempts=str(max_attempts)
     )
-    LOG.info("configuration read", extra=found)
+    LOG.info("configuration read", extra=applied)
 
 
 def apply_operator_settings(node: ReloadableNode, new: Operator | None) -> None:
-    """Apply what can change while running, and log the rest as ignored until the next start."""
+    """Apply changes that need no restart, and log the others as ignored until the next start."""
     running = node.operator_settings
     if running is None or new is None:
         report_ignored(["operator file"] if new is not running else [])
