--- a/tests/test_old_version_files.py
+++ b/tests/test_old_version_files.py
@@ -1,4 +1,4 @@
-"""Files that an earlier version left in a router's folder are read to the values that it read from them."""
+"""Files that an earlier version left in a router's folder are still read with the same values."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def old_folder(tmp_path: Path) -> Path:
-    """Return a copy of the folder, where a process of the router looks for it."""
+    """Copy the recorded folder to the path that a process of the router uses; return the path."""
     path = folder_path(str(tmp_path), PROCESS["base_name"], PROCESS["listen"])
     shutil.copytree(DATA / "old_version" / "folder", path)
     return path
@@ -47,16 +47,16 @@
     texts = read_ban_files(path)
     assert len(texts) == len(kept)
     for text in texts:
-        found = bans.parse(text)
-        assert {"out": found.excluded, "back": found.included} == EXPECTED["bans"]
-        assert found.dump() == text
+        parsed = bans.parse(text)
+        assert {"out": parsed.excluded, "back": parsed.included} == EXPECTED["bans"]
+        assert parsed.dump() == text
 
 
 def test_bans_apply_to_members_as_before(tmp_path: Path) -> None:
-    found = bans.parse(read_ban_files(old_folder(tmp_path))[0])
+    parsed = bans.parse(read_ban_files(old_folder(tmp_path))[0])
     assert len(EXPECTED["applied"]) == 15
     for case in EXPECTED["applied"]:
-        state, born_ms = found.apply_to(case["name"], MemberState(case["state"]), case["born_ms"])
+        state, born_ms = parsed.apply_to(case["name"], MemberState(case["state"]), case["born_ms"])
         assert [state.value, born_ms] == case["to"], case
 
 
@@ -65,9 +65,9 @@
     with open(path / f"run.{PROCESS['pid']}", "rb+") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         folder = Folder(str(tmp_path), PROCESS["base_name"], PROCESS["listen"])
-        others = folder.find_peers()
+        peers = folder.find_peers()
         folder.close()
-    assert others == [UpgradePeer(PROCESS["pid"], PROCESS["born_ns"], PROCESS["phase"])]
+    assert peers == [UpgradePeer(PROCESS["pid"], PROCESS["born_ns"], PROCESS["phase"])]
 
 
 def test_learned_state_of_a_handoff_is_adopted() -> None:
@@ -79,14 +79,14 @@
 
 
 def test_copies_of_a_handoff_are_adopted_in_their_order() -> None:
-    copies = LocalCache(CACHE_BYTES, LINK_BYTES_PER_S, CopyClock(EXPECTED["unix_offset_us"]))
+    cache = LocalCache(CACHE_BYTES, LINK_BYTES_PER_S, CopyClock(EXPECTED["unix_offset_us"]))
     with (
         open(DATA / "old_version" / "folder" / f"legacy.{HANDOFF_PID}", "rb") as file,
         mock.patch.object(local_cache, "now_us", lambda: EXPECTED["now_us"]),
     ):
         for values, body in list(handoff.read_records(file.read))[1:]:
-            handoff.restore_copy(copies, values, body)
-    found = [
+            handoff.restore_copy(cache, values, body)
+    adopted = [
         {
             "object_id": object_id,
             "part": part,
@@ -95,9 +95,9 @@
             "issued_ms": copy.answer.issued_ms,
             "body": as_text(copy.answer.body),
         }
-        for (object_id, part), copy in copies.copies.items()
+        for (object_id, part), copy in cache.copies.items()
     ]
-    assert len(found) == 3 and found == EXPECTED["copies"]
+    assert len(adopted) == 3 and adopted == EXPECTED["copies"]
 
 
 @pytest.mark.parametrize("case", EXPECTED["votes"], ids=lambda case: str(case["file"]))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's files: typed records, bounds, errors in one line; the command line that checks them."""
+"""The operator's files: typed records, bounds, one-line errors, and the commands that check the files."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
     return operator.load({"LUPINTACK_OPERATOR": str(write(folder, text))})
 
 
-def test_committed_files_are_right_and_off() -> None:
+def test_committed_files_are_valid_and_off() -> None:
     assert operator.load({}) is None
     for name in ("operator.toml", "cdni.toml"):
-        found = CliRunner().invoke(main, ["config", "check", str(DEPLOY / name)])
-        assert found.exit_code == 0 and "on: nothing" in found.output, found.output
+        result = CliRunner().invoke(main, ["config", "check", str(DEPLOY / name)])
+        assert result.exit_code == 0 and "on: nothing" in result.output, result.output
 
 
 @pytest.mark.parametrize(
-    "text, wanted",
+    "text, expected_error",
     [
         ("[http2]\nconnections = 0", "[http2] connections: 0: expected int >= 1"),
         ("[http2]\nstreams = 1001", "[http2] streams: 1001: expected int <= 1000"),
@@ -50,46 +50,46 @@
         ("[http2", "Expected ']'"),
     ],
 )
-def test_faults_name_table_key_value_and_what_is_wanted(tmp_path: Path, text: str, wanted: str) -> None:
-    with pytest.raises(ConfigError) as caught:
+def test_errors_name_table_key_value_and_expectation(tmp_path: Path, text: str, expected_error: str) -> None:
+    with pytest.raises(ConfigError) as error:
         load(tmp_path, text)
-    assert str(caught.value).startswith("operator.toml: ")
-    assert wanted in str(caught.value) and "\n" not in str(caught.value)
+    assert str(error.value).startswith("operator.toml: ")
+    assert expected_error in str(error.value) and "\n" not in str(error.value)
 
 
-def test_off_is_off_and_on_is_read(tmp_path: Path) -> None:
+def test_file_with_all_tables_off_loads_as_none_and_others_are_read(tmp_path: Path) -> None:
     assert load(tmp_path, "[http2]\nenabled = false") is None
-    found = load(tmp_path, "[http2]\nenabled = true\nstreams = 7")
-    assert isinstance(found, operator.parse({}, "").__class__) and found.http2.streams == 7
+    settings = load(tmp_path, "[http2]\nenabled = true\nstreams = 7")
+    assert isinstance(settings, operator.parse({}, "").__class__) and settings.http2.streams == 7
     with pytest.raises(ConfigError, match="no file"):
         operator.load({"LUPINTACK_OPERATOR": str(tmp_path / "none.toml")})
 
 
-def test_schema_tells_bounds_and_what_is_live() -> None:
-    told = schema()["$defs"]["Http2"]
-    assert told["additionalProperties"] is False
-    assert told["properties"]["streams"]["maximum"] == 1000
+def test_schema_has_bounds_and_live_keys() -> None:
+    table = schema()["$defs"]["Http2"]
+    assert table["additionalProperties"] is False
+    assert table["properties"]["streams"]["maximum"] == 1000
     assert "share_percent" in live_keys(Http2) and "listen" not in live_keys(Http2)
 
 
-def test_check_says_one_line_and_ends_with_2(tmp_path: Path) -> None:
+def test_check_reports_invalid_files_with_exit_code_2(tmp_path: Path) -> None:
     file = write(tmp_path, "[http2]\nenabled = false\nstreams = 0")
-    found = CliRunner().invoke(main, ["config", "check", str(file), "--json"])
-    told = json.loads(found.output)
-    assert found.exit_code == 2 and told["ok"] is False and "streams: 0" in told["error"]
+    result = CliRunner().invoke(main, ["config", "check", str(file), "--json"])
+    report = json.loads(result.output)
+    assert result.exit_code == 2 and report["ok"] is False and "streams: 0" in report["error"]
     assert CliRunner().invoke(main, ["config", "check", str(tmp_path / "no.toml")]).exit_code == 2
     cdni = write(tmp_path, "enabled = false\n[[host]]\nname = 'h'\ngroup = 300", "cdni.toml")
-    found = CliRunner().invoke(main, ["config", "check", str(cdni)])
-    assert found.exit_code == 2 and "[host[0]] group: 300: expected int <= 255" in found.output
+    result = CliRunner().invoke(main, ["config", "check", str(cdni)])
+    assert result.exit_code == 2 and "[host[0]] group: 300: expected int <= 255" in result.output
     assert CliRunner().invoke(main, ["config", "check", str(write(tmp_path, "{", "c.json"))]).exit_code == 2
     assert json.loads(CliRunner().invoke(main, ["config", "schema"]).output) == schema()
 
 
-def test_a_fault_ends_run_with_one_line_and_2(tmp_path: Path) -> None:
+def test_invalid_file_ends_the_process_with_one_line_and_exit_code_2(tmp_path: Path) -> None:
     file = write(tmp_path, "[http2]\nenabled = 3")
     environ = {"LUPINTACK_OPERATOR": str(file), "EDGE_CONFIG": "/nowhere"}
-    found = subprocess.run([sys.executable, "-m", "lupintack"], env=environ, capture_output=True, text=True)
-    assert found.returncode == 2 and found.stderr.count("\n") == 1 and "Traceback" not in found.stderr
+    result = subprocess.run([sys.executable, "-m", "lupintack"], env=environ, capture_output=True, text=True)
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and "Traceback" not in result.stderr
 
 
 def test_log_lines_are_key_value() -> None:
--- a/tests/test_settings_keys.py
+++ b/tests/test_settings_keys.py
@@ -1,4 +1,4 @@
-"""Each key of the platform's settings, of the operator's files and of the environment is read as before."""
+"""Each key of the platform's file, the operator's files and the environment is read as recorded."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
     "EDGE_CONFIG", "EDGE_NAME", "EDGE_LISTEN", "EDGE_ADMIN_ADDR", "TMPDIR",
     "LUPINTACK_OPERATOR", "LUPINTACK_CDNI", "LUPINTACK_TRACE",
 }  # fmt: skip
-# Fields of Config that have another name than in the recorded version; the keys of the file are as they were.
+# Fields of Config that were renamed since the recorded version; the keys of the file are unchanged.
 RENAMED_FIELDS = {"board": "discovery_address", "known": "initial_log"}
-# Errors that have another text than in the recorded version.
+# Error texts that were reworded since the recorded version.
 REWORDED_ERRORS = {
     "ConfigError: listen: host:port is wanted, not ''": "ConfigError: listen: expected host:port, not ''",
     "SettingsError: setting services[0].deadline: 0.0: above 0 is wanted": (
@@ -56,19 +56,19 @@
     return [without_descriptions(item) for item in value] if isinstance(value, list) else value
 
 
-def differences(one: Any, other: Any, path: str = "") -> list[str]:
-    """Return the paths at which two configurations differ, but for the copy of the file."""
-    if isinstance(one, dict) and isinstance(other, dict):
+def differences(expected: Any, actual: Any, path: str = "") -> list[str]:
+    """Return the paths at which two configurations differ, except in `raw`, the copy of the file."""
+    if isinstance(expected, dict) and isinstance(actual, dict):
         paths = [
-            found
-            for key in one
-            for found in differences(one[key], other.get(key), f"{path}.{key}" if path else key)
+            difference
+            for key in expected
+            for difference in differences(expected[key], actual.get(key), f"{path}.{key}" if path else key)
         ]
-        return [found for found in paths if not found.startswith("raw")]
-    if isinstance(one, list) and isinstance(other, list) and len(one) == len(other):
-        pairs = enumerate(zip(one, other, strict=True))
-        return [found for n, (a, b) in pairs for found in differences(a, b, f"{path}[{n}]")]
-    return [path] if one != other else []
+        return [difference for difference in paths if not difference.startswith("raw")]
+    if isinstance(expected, list) and isinstance(actual, list) and len(expected) == len(actual):
+        pairs = enumerate(zip(expected, actual, strict=True))
+        return [difference for n, (a, b) in pairs for difference in differences(a, b, f"{path}[{n}]")]
+    return [path] if expected != actual else []
 
 
 def without(data: Any, path: list[Any]) -> Any:
@@ -85,8 +85,8 @@
 def test_platform_file_is_read_as_before(case: dict[str, Any], tmp_path: Path) -> None:
     file = tmp_path / "edge.json"
     file.write_text(json.dumps(case["file"]))
-    found = config.load({"EDGE_CONFIG": str(file), **case["environ"]})
-    assert plain(found, named=True) == {
+    actual = config.load({"EDGE_CONFIG": str(file), **case["environ"]})
+    assert plain(actual, named=True) == {
         RENAMED_FIELDS.get(name, name): case["config"][name] for name in case["config"]
     }
 
@@ -94,25 +94,25 @@
 @pytest.mark.parametrize(
     "case", PLATFORM["single_keys"], ids=lambda case: ".".join(map(str, case["without"]))
 )
-def test_each_key_of_the_platform_file_sets_what_it_set(case: dict[str, Any]) -> None:
-    whole = PLATFORM["cases"][0]["file"]
-    expected = plain(config.parse(whole, {}), named=True)
+def test_each_key_of_the_platform_file_sets_the_recorded_values(case: dict[str, Any]) -> None:
+    complete_file = PLATFORM["cases"][0]["file"]
+    expected = plain(config.parse(complete_file, {}), named=True)
     try:
-        found = plain(config.parse(without(whole, case["without"]), {}), named=True)
+        actual = plain(config.parse(without(complete_file, case["without"]), {}), named=True)
     except (ConfigError, SettingsError) as error:
         assert f"{type(error).__name__}: {error}" == REWORDED_ERRORS[case["changes"]]
         return
-    assert differences(expected, found) == [with_present_field(path) for path in case["changes"]]
+    assert differences(expected, actual) == [with_present_field(path) for path in case["changes"]]
 
 
 def with_present_field(path: str) -> str:
-    """Return a recorded path with the present name of its first field."""
+    """Return a recorded path with the current name of its first field."""
     field, separator, rest = path.partition(".")
     return RENAMED_FIELDS.get(field, field) + separator + rest
 
 
 def test_every_value_of_the_recorded_platform_file_is_distinct() -> None:
-    """No key could be mistaken for another: but for flags and names of classes, no two have one value."""
+    """With distinct numbers, a key that is read in place of another changes the result."""
     numbers: list[float] = []
 
     def collect(value: Any) -> None:
@@ -133,12 +133,12 @@
 def test_operator_file_is_read_as_before(case: dict[str, Any], tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(case["text"])
-    found = operator.load({"LUPINTACK_OPERATOR": str(file)})
-    assert found is not None
-    assert plain(msgspec.to_builtins(found)) == case["tables"]
-    assert plain(stream_terms(found.http2)) == case["stream_terms"]
-    assert plain(membership_terms(found.membership)) == case["membership_terms"]
-    assert plain(budget_terms(found.budgets)) == case["budget_terms"]
+    actual = operator.load({"LUPINTACK_OPERATOR": str(file)})
+    assert actual is not None
+    assert plain(msgspec.to_builtins(actual)) == case["tables"]
+    assert plain(stream_terms(actual.http2)) == case["stream_terms"]
+    assert plain(membership_terms(actual.membership)) == case["membership_terms"]
+    assert plain(budget_terms(actual.budgets)) == case["budget_terms"]
 
 
 def test_operator_schema_has_the_same_keys_and_bounds() -> None:
@@ -156,8 +156,8 @@
 
 
 def test_cdni_file_is_read_as_before() -> None:
-    found = cdni_conf.parse(tomllib.loads(CDNI["text"]), "cdni.toml", tuple(CDNI["classes"]))
-    assert plain(found) == CDNI["read"] and len(fields(found)) == len(CDNI["read"])
+    actual = cdni_conf.parse(tomllib.loads(CDNI["text"]), "cdni.toml", tuple(CDNI["classes"]))
+    assert plain(actual) == CDNI["read"] and len(fields(actual)) == len(CDNI["read"])
     found_schema = msgspec.json.decode(msgspec.json.encode(msgspec.json.schema(CdniFile)))
     assert without_descriptions(found_schema) == CDNI["schema"]
 
@@ -175,11 +175,11 @@
 
 
 @pytest.mark.parametrize("value, is_on", [("1", True), ("0", False), ("", False), ("yes", False)])
-def test_the_environment_switches_the_trace_on(value: str, is_on: bool) -> None:
+def test_environment_variable_enables_the_trace(value: str, is_on: bool) -> None:
     assert (trace.writer({"LUPINTACK_TRACE": value}) is not None) is is_on
 
 
-def test_the_longest_advice_to_wait_is_not_looked_at_where_none_is_allowed() -> None:
+def test_max_retry_after_is_not_read_unless_retry_after_is_allowed() -> None:
     limits = {"max-retry-after": "long", "retry-after": False}
     assert read_settings(json.dumps({"limits": limits}).encode()).max_retry_after_ms == 0.0
     with pytest.raises(SettingsError, match="max-retry-after"):
