--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: the five calls, and what a ban and an evacuation do to traffic."""
+"""The second address: its five calls, and the effect of bans and evacuations on traffic."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 TILE = "/ops/map-tiles/00000000000000aa"
 
 
-def test_each_call_has_its_answer() -> None:
+def test_calls_are_answered_with_status_and_text() -> None:
     Scenario().run(f"""
         staff call GET /api/ready 200 body:ready*
         staff call POST /api/ready 405 allow:GET
@@ -60,25 +60,25 @@
     """)
 
 
-def test_silent_and_partial_calls_block_nothing() -> None:
-    play = Scenario()
-    assert play.node.admin is not None
-    where = play.node.admin.sock.getsockname()
-    silent = [socket.create_connection(where) for _ in range(50)]
-    for one in silent[::2]:
-        one.sendall(b"GET /api/re")
-    began = time.monotonic()
-    play.run("staff call GET /api/ready 200", close=False)
-    assert time.monotonic() - began < 1.0
-    for one in silent:
-        one.close()
-    play.close()
-
-
-def test_answers_do_not_wait_for_the_core() -> None:
-    play = Scenario()
-    with play.node.core.mailbox.turn_lock:  # a turn that does not end
-        play.run(
+def test_silent_and_partial_calls_do_not_block_others() -> None:
+    scenario = Scenario()
+    assert scenario.node.admin is not None
+    admin_address = scenario.node.admin.sock.getsockname()
+    silent = [socket.create_connection(admin_address) for _ in range(50)]
+    for sock in silent[::2]:
+        sock.sendall(b"GET /api/re")
+    started_s = time.monotonic()
+    scenario.run("staff call GET /api/ready 200", close=False)
+    assert time.monotonic() - started_s < 1.0
+    for sock in silent:
+        sock.close()
+    scenario.close()
+
+
+def test_calls_are_answered_while_the_core_is_blocked() -> None:
+    scenario = Scenario()
+    with scenario.node.core.mailbox.turn_lock:  # a turn that does not return
+        scenario.run(
             """
             staff call GET /api/ready 200
             staff call POST /api/exclude?name=s-1 200
@@ -88,15 +88,16 @@
             """,
             close=False,
         )
-    play.close()
+    scenario.close()
 
 
-def test_a_ban_binds_at_the_write_and_overrides_the_list() -> None:
-    """What waits for a connect when the ban comes is not written, and a list that calls it ready changes
-    nothing until the call back, after which it is cold.
+def test_ban_applies_at_the_write_and_overrides_the_list() -> None:
+    """A request that waits for a connection when its member is banned is not written.
+
+    A list that reports the member ready changes nothing until it is included; then it warms up.
     """
-    play = Scenario()
-    play.run(
+    scenario = Scenario()
+    scenario.run(
         """
         board expect watch 1
         staff call POST /api/exclude?name=s-1 200
@@ -104,20 +105,20 @@
         """,
         close=False,
     )
-    one = member_id("s-1")
+    banned_id = member_id("s-1")
     for change in ('"Ready"', '"Terminating"', '"Gone"', '"Ready"'):
-        rev = play.node.discovery.last_revision + 1
+        rev = scenario.node.discovery.last_revision + 1
         line = "{line s-1 Ready}".replace("Ready", change.strip('"'))
-        play.run(
+        scenario.run(
             f"""board send {{"rev":{rev},"pool":{{"whole":false,"seq":{rev},"hosts":[{line}]}}}}""", False
         )
-        eventually(lambda rev=rev: play.node.discovery.last_revision == rev)  # type: ignore[misc]
-        eventually(lambda: play.node.member_table.mailbox.empty())
-        assert one in play.node.member_table.banned
-        host = play.node.member_table.usable_endpoints.get(one)
-        assert host is None or host.state.name != "READY"
+        eventually(lambda rev=rev: scenario.node.discovery.last_revision == rev)  # type: ignore[misc]
+        eventually(lambda: scenario.node.member_table.mailbox.empty())
+        assert banned_id in scenario.node.member_table.banned
+        endpoint = scenario.node.member_table.usable_endpoints.get(banned_id)
+        assert endpoint is None or endpoint.state.name != "READY"
     for n in range(20):
-        play.run(
+        scenario.run(
             f"""
             client a send GET /ops/map-tiles/{n:016x}
             cache expect w at=s-2
@@ -126,58 +127,61 @@
             """,
             close=False,
         )
-    play.run("staff call POST /api/include?name=s-1 200", close=False)
-    eventually(lambda: play.node.core.router.endpoints.by_id.get(one) is not None)
-    peer = play.node.core.router.endpoints.by_id[one]
+    scenario.run("staff call POST /api/include?name=s-1 200", close=False)
+    eventually(lambda: scenario.node.core.router.endpoints.by_id.get(banned_id) is not None)
+    peer = scenario.node.core.router.endpoints.by_id[banned_id]
     assert (
         peer.is_ready
         and peer.slow_start.started_ms > 0
         and peer.slow_start.factor(peer.slow_start.started_ms)
         == peer.slow_start.config.initial_capacity_share
     )
-    play.close()
+    scenario.close()
 
 
-def test_a_ban_survives_a_restart_and_foreign_state_does_not_stop_a_start(tmp_path: Path) -> None:
-    play = Scenario(tmp=str(tmp_path))
-    play.run("staff call POST /api/exclude?name=s-2 200")
-    play = Scenario(tmp=str(tmp_path))
-    assert play.node.member_table.banned == {member_id("s-2")}
-    folder = play.node.admin_service.folder
+def test_ban_survives_a_restart_and_invalid_stored_bans_do_not_prevent_a_start(tmp_path: Path) -> None:
+    scenario = Scenario(tmp=str(tmp_path))
+    scenario.run("staff call POST /api/exclude?name=s-2 200")
+    scenario = Scenario(tmp=str(tmp_path))
+    assert scenario.node.member_table.banned == {member_id("s-2")}
+    folder = scenario.node.admin_service.folder
     assert folder is not None
-    bans = folder.bans_path
-    play.run("staff call POST /api/include?name=s-2 200")
-    assert found_at_a_start(tmp_path) == frozenset()
-    bans.write_bytes(b"")
-    assert found_at_a_start(tmp_path) == frozenset()
+    bans_path = folder.bans_path
+    scenario.run("staff call POST /api/include?name=s-2 200")
+    assert banned_after_start(tmp_path) == frozenset()
+    bans_path.write_bytes(b"")
+    assert banned_after_start(tmp_path) == frozenset()
 
 
-def found_at_a_start(tmp_path: Path) -> frozenset[int]:
-    play = Scenario(tmp=str(tmp_path))
-    found = play.node.member_table.banned
-    play.close()
-    return found
+def banned_after_start(tmp_path: Path) -> frozenset[int]:
+    """Start and end a node; return the members that it excluded."""
+    scenario = Scenario(tmp=str(tmp_path))
+    banned = scenario.node.member_table.banned
+    scenario.close()
+    return banned
 
 
-def test_a_ban_that_can_t_be_saved_is_in_force_and_answered_with_500(tmp_path: Path) -> None:
-    play = Scenario(tmp=str(tmp_path))
-    folder = play.node.admin_service.folder
+def test_unsaved_ban_is_in_force_and_answered_with_500(tmp_path: Path) -> None:
+    scenario = Scenario(tmp=str(tmp_path))
+    folder = scenario.node.admin_service.folder
     assert folder is not None
     with folder.locked():
-        play.run("staff call POST /api/exclude?name=s-1 500 body:*not*kept*", close=False)
-    assert play.node.member_table.banned == {member_id("s-1")}
-    play.run("staff call POST /api/exclude?name=s-2 200", close=False)
-    assert play.node.member_table.banned == {member_id("s-1"), member_id("s-2")}, "the first one still holds"
+        scenario.run("staff call POST /api/exclude?name=s-1 500 body:*not*kept*", close=False)
+    assert scenario.node.member_table.banned == {member_id("s-1")}
+    scenario.run("staff call POST /api/exclude?name=s-2 200", close=False)
+    assert scenario.node.member_table.banned == {member_id("s-1"), member_id("s-2")}, (
+        "the first ban is still in force"
+    )
     assert set(parse(folder.bans_path.read_bytes()).excluded) == {"s-1", "s-2"}
     with folder.locked():
-        play.run("staff call POST /api/include?name=s-1 500", close=False)
-    play.run("staff call POST /api/exclude?name=s-2 200")
+        scenario.run("staff call POST /api/include?name=s-1 500", close=False)
+    scenario.run("staff call POST /api/exclude?name=s-2 200")
     assert set(parse(folder.bans_path.read_bytes()).excluded) == {"s-2"}
 
 
-def test_evacuate_ends_kept_connections_and_answers_what_is_open() -> None:
-    play = Scenario()
-    play.run(
+def test_evacuation_closes_idle_connections_and_answers_open_requests() -> None:
+    scenario = Scenario()
+    scenario.run(
         f"""
         client kept send GET /alive
         client kept expect 200
@@ -202,9 +206,9 @@
         """,
         close=False,
     )
-    eventually(lambda: not play.node.http1.connections)
-    eventually(lambda: play.node.admin_service.lifecycle.phase.value == "evacuated")
-    play.run(
+    eventually(lambda: not scenario.node.http1.connections)
+    eventually(lambda: scenario.node.admin_service.lifecycle.phase.value == "evacuated")
+    scenario.run(
         f"""
         staff call POST /api/rejoin 200
         staff call GET /api/ready 200
@@ -218,10 +222,10 @@
     )
 
 
-def test_evacuate_and_rejoin_within_a_second() -> None:
-    play = Scenario()
+def test_evacuation_and_rejoin_within_a_second() -> None:
+    scenario = Scenario()
     for _ in range(3):
-        play.run(
+        scenario.run(
             """
             staff call POST /api/evacuate 200
             staff call GET /api/ready 503
@@ -230,10 +234,10 @@
             """,
             close=False,
         )
-    play.run("client a send GET /alive\nclient a expect 200 Connection:")
+    scenario.run("client a send GET /alive\nclient a expect 200 Connection:")
 
 
-def test_term_while_evacuated_ends_and_rejoin_is_refused() -> None:
+def test_sigterm_while_evacuated_ends_the_process_and_rejoin_is_rejected() -> None:
     Scenario().run("""
         staff call POST /api/evacuate 200
         router send TERM
@@ -243,37 +247,37 @@
     """)
 
 
-def test_lines_are_one_line() -> None:
-    play = Scenario()
-    assert play.node.admin is not None
-    with socket.create_connection(play.node.admin.sock.getsockname()) as sock:
+def test_error_answer_is_a_single_line() -> None:
+    scenario = Scenario()
+    assert scenario.node.admin is not None
+    with socket.create_connection(scenario.node.admin.sock.getsockname()) as sock:
         sock.sendall(b"POST /api/exclude?name=s-1%0a HTTP/1.1\r\nHost: x\r\n\r\n")
         status, _, body = Lines(sock).message()
     assert " 400 " in status and body.count("\n") == 1
-    play.close()
+    scenario.close()
 
 
-def excluded_at_the_write(play: Scenario, whose: str) -> list[str]:
-    """Take out the member, or the source, of the next attempt between its decision and its write."""
-    out: list[str] = []
-    stale = play.node.member_table.is_outdated
+def exclude_before_write(scenario: Scenario, role: str) -> list[str]:
+    """Exclude the member or the source of the next attempt between its decision and its write."""
+    excluded: list[str] = []
+    is_outdated = scenario.node.member_table.is_outdated
 
-    def asked(attempt: Attempt) -> bool:
-        if not out:
-            number = attempt.member if whose == "member" else attempt.source
-            out.append(play.node.member_table.usable_endpoints[number].name)
-            assert play.node.admin_service.exclude(out[0]).status == 200
-        return stale(attempt)
+    def exclude_and_check(attempt: Attempt) -> bool:
+        if not excluded:
+            number = attempt.member if role == "member" else attempt.source
+            excluded.append(scenario.node.member_table.usable_endpoints[number].name)
+            assert scenario.node.admin_service.exclude(excluded[0]).status == 200
+        return is_outdated(attempt)
 
-    play.node.member_table.is_outdated = asked  # type: ignore[method-assign]
-    return out
+    scenario.node.member_table.is_outdated = exclude_and_check  # type: ignore[method-assign]
+    return excluded
 
 
-@pytest.mark.parametrize("whose", ["member", "source"])
-def test_a_ban_between_decision_and_write_withdraws_the_attempt(whose: str) -> None:
-    play = Scenario()
-    out = excluded_at_the_write(play, whose)
-    play.run(
+@pytest.mark.parametrize("role", ["member", "source"])
+def test_ban_between_decision_and_write_withdraws_the_attempt(role: str) -> None:
+    scenario = Scenario()
+    excluded = exclude_before_write(scenario, role)
+    scenario.run(
         f"""
         client a send GET {TILE}
         cache expect w miss=*
@@ -282,21 +286,23 @@
         """,
         close=False,
     )
-    assert out and play.wanted_at != out[0] and play.wanted_from != out[0]
-    assert play.node.core.counters["ended.outdated"] == 1
-    play.close()
-
-
-def test_a_ban_holds_for_second_attempts_and_a_new_address() -> None:
-    """A cache is out, and comes again on the list at another address: nothing reaches it until the call."""
-    play = Scenario()
-    play.run("board expect watch 1\nstaff call POST /api/exclude?name=s-1 200", close=False)
-    play.members["s-1 moved"] = listen(play.member("s-1 moved"))
-    moved = json.dumps(play.line("s-1", dial=at(play.members["s-1 moved"])))
-    play.run(f'board send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False)
-    eventually(lambda: play.node.discovery.last_revision == 2 and play.node.member_table.mailbox.empty())
+    assert excluded and scenario.wanted_at != excluded[0] and scenario.wanted_from != excluded[0]
+    assert scenario.node.core.counters["ended.outdated"] == 1
+    scenario.close()
+
+
+def test_ban_applies_to_second_attempts_and_to_a_new_address() -> None:
+    """An excluded cache that is listed again at another address gets no requests until it is included."""
+    scenario = Scenario()
+    scenario.run("board expect watch 1\nstaff call POST /api/exclude?name=s-1 200", close=False)
+    scenario.members["s-1 moved"] = listen(scenario.member("s-1 moved"))
+    moved = json.dumps(scenario.line("s-1", dial=at(scenario.members["s-1 moved"])))
+    scenario.run(f'board send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False)
+    eventually(
+        lambda: scenario.node.discovery.last_revision == 2 and scenario.node.member_table.mailbox.empty()
+    )
     for n in range(12):
-        play.run(
+        scenario.run(
             f"""
             client a send GET /ops/map-tiles/{n:016x}
             cache expect w at=s-2
@@ -307,17 +313,17 @@
             """,
             close=False,
         )
-        assert not play.wanted_at.startswith("s-1")
-    play.run("staff call POST /api/include?name=s-1 200", close=False)
-    eventually(lambda: member_id("s-1") in play.node.core.router.endpoints.by_id)
+        assert not scenario.wanted_at.startswith("s-1")
+    scenario.run("staff call POST /api/include?name=s-1 200", close=False)
+    eventually(lambda: member_id("s-1") in scenario.node.core.router.endpoints.by_id)
     assert (
-        play.node.core.member_links.endpoints[member_id("s-1")].dial
-        == play.members["s-1 moved"].getsockname()
+        scenario.node.core.member_links.endpoints[member_id("s-1")].dial
+        == scenario.members["s-1 moved"].getsockname()
     )
-    play.close()
+    scenario.close()
 
 
-def test_a_zone_without_caches_gives_a_warning_and_is_served_by_the_parents() -> None:
+def test_zone_without_caches_is_reported_and_served_by_the_parents() -> None:
     Scenario().run(f"""
         staff call POST /api/exclude?name=s-1 200 body:out
         staff call POST /api/exclude?name=s-2 200 body:*no*cache*of*its*location*
@@ -331,14 +337,16 @@
     """)
 
 
-def test_a_request_between_a_ban_and_the_turn_that_applies_it_is_served() -> None:
-    """The write knows a ban at once, the module when its turn comes: it is told the end of an attempt that
-    the ban held back after the ban itself, and does not spend its tries on members that are out.
+def test_request_between_a_ban_and_the_turn_that_applies_it_is_served() -> None:
+    """A ban applies to writes immediately, but to decisions only in a later turn of the core.
+
+    The result of an attempt that the ban withdrew is therefore deferred until after the ban. Otherwise a
+    request would use up its attempts on excluded members.
     """
-    play = Scenario()
-    told, notify = threading.Event(), play.node.member_table.notify
-    play.node.member_table.notify = lambda change: (told.wait(5.0), notify(change))[1]
-    play.run(
+    scenario = Scenario()
+    released, notify = threading.Event(), scenario.node.member_table.notify
+    scenario.node.member_table.notify = lambda change: (released.wait(5.0), notify(change))[1]
+    scenario.run(
         f"""
         staff call POST /api/exclude?name=s-1 200
         staff call POST /api/exclude?name=s-2 200
@@ -348,27 +356,27 @@
     )
     eventually(
         lambda: (
-            play.node.core.counters["received.map-tiles"] == 1
-            and len(play.node.core.results.deferred_results) == 1
+            scenario.node.core.counters["received.map-tiles"] == 1
+            and len(scenario.node.core.results.deferred_results) == 1
         )
     )
-    told.set()
-    play.run("cache expect w at=p-*\ncache send w ok - one\nclient a expect 200 body=one", close=False)
-    assert play.node.core.counters["ended.outdated"] == 1
-    play.close()
+    released.set()
+    scenario.run("cache expect w at=p-*\ncache send w ok - one\nclient a expect 200 body=one", close=False)
+    assert scenario.node.core.counters["ended.outdated"] == 1
+    scenario.close()
 
 
-def test_a_cache_of_another_kind_is_one_of_the_location_still() -> None:
-    play = Scenario()
-    hosts = play.node.member_table.listed_endpoints
-    hosts[member_id("s-2")] = dataclasses.replace(hosts[member_id("s-2")], kind=7)
-    play.run("staff call POST /api/exclude?name=s-1 200 body:out")
+def test_cache_of_another_kind_counts_as_usable_in_its_zone() -> None:
+    scenario = Scenario()
+    listed = scenario.node.member_table.listed_endpoints
+    listed[member_id("s-2")] = dataclasses.replace(listed[member_id("s-2")], kind=7)
+    scenario.run("staff call POST /api/exclude?name=s-1 200 body:out")
 
 
-def test_at_the_bound_of_exclusions_an_excluded_member_may_be_excluded_again() -> None:
-    play = Scenario()
+def test_excluded_member_can_be_excluded_again_at_the_limit_of_exclusions() -> None:
+    scenario = Scenario()
     with unittest.mock.patch.object(admin_service, "MAX_EXCLUDED_MEMBERS", 1):
-        play.run("""
+        scenario.run("""
             staff call POST /api/exclude?name=s-1 200
             staff call POST /api/exclude?name=s-2 507
             staff call POST /api/exclude?name=s-1 200 body:out*already*
@@ -384,93 +392,94 @@
 
 
 @given(STEPS)
-def test_a_banned_member_is_never_written_to(steps: list[tuple[str, str | MemberState]]) -> None:
-    """Whatever is said and told in whatever order: before the member table knows it, and after."""
+def test_banned_member_is_never_written_to(steps: list[tuple[str, str | MemberState]]) -> None:
+    """Holds for any order of bans and list changes, before and after the member table applies them."""
     member_table, bans = MemberTable(6000.0), Bans()
-    other = Endpoint("r-1", ("127.0.0.1", 1))  # always there, and ready
+    other = Endpoint("r-1", ("127.0.0.1", 1))  # always listed and ready
     member_table.apply(ListUpdate(True, (other,)))
-    for now, (name, what) in enumerate(steps):
-        if isinstance(what, MemberState):
-            member_table.update_list(False, (Endpoint(name, ("127.0.0.1", 1), state=what),))
-        elif what == "whole":
+    for now, (name, change) in enumerate(steps):
+        if isinstance(change, MemberState):
+            member_table.update_list(False, (Endpoint(name, ("127.0.0.1", 1), state=change),))
+        elif change == "whole":
             member_table.update_list(True, (other, Endpoint(name, ("127.0.0.1", 2))))
         else:
             bans = Bans(dict(bans.excluded), dict(bans.included))
-            (bans.exclude if what == "exclude" else bans.include)(name, float(now))
+            (bans.exclude if change == "exclude" else bans.include)(name, float(now))
             member_table.set_bans(bans)
         for applied in (False, True):
             while applied and not member_table.mailbox.empty():
-                news = member_table.mailbox.get()
-                assert news is not None
-                member_table.apply(news)
-            for one in bans.excluded:
-                for member, source in ((member_id(one), 0), (member_id("r-1"), member_id(one))):
-                    ask = ClientRequest(
+                update = member_table.mailbox.get()
+                assert update is not None
+                member_table.apply(update)
+            for excluded in bans.excluded:
+                for member, source in ((member_id(excluded), 0), (member_id("r-1"), member_id(excluded))):
+                    request = ClientRequest(
                         "1", 0, "a", 1, 0, 0, 0, unittest.mock.Mock(is_disconnected=lambda: False)
                     )
-                    how = ("", "", 0, 0.0, False, False, False, 0, 0, member_table.is_outdated)
-                    assert member_table.is_outdated(Attempt(ask, 0, member, source, *how))
-        for number, host in member_table.usable_endpoints.items():
-            assert host.state is not MemberState.READY or host.name not in bans.excluded, number
+                    other_fields = ("", "", 0, 0.0, False, False, False, 0, 0, member_table.is_outdated)
+                    assert member_table.is_outdated(Attempt(request, 0, member, source, *other_fields))
+        for number, endpoint in member_table.usable_endpoints.items():
+            assert endpoint.state is not MemberState.READY or endpoint.name not in bans.excluded, number
 
 
-def test_a_ban_that_could_not_be_saved_is_retried(tmp_path: Path) -> None:
-    play = Scenario(tmp=str(tmp_path))
-    folder = play.node.admin_service.folder
+def test_saving_of_a_ban_is_retried(tmp_path: Path) -> None:
+    scenario = Scenario(tmp=str(tmp_path))
+    folder = scenario.node.admin_service.folder
     assert folder is not None
     with folder.locked():
-        play.run("staff call POST /api/exclude?name=s-1 500", close=False)
+        scenario.run("staff call POST /api/exclude?name=s-1 500", close=False)
     eventually(
         lambda: folder.bans_path.exists() and set(parse(folder.bans_path.read_bytes()).excluded) == {"s-1"}
     )
-    play.close()
+    scenario.close()
 
 
-def test_each_process_that_starts_gets_a_handoff_whatever_became_of_the_one_before(tmp_path: Path) -> None:
-    play = Scenario(tmp=str(tmp_path))
-    folder = play.node.admin_service.folder
+def test_each_starting_process_gets_a_handoff_after_an_earlier_one_disappeared(tmp_path: Path) -> None:
+    scenario = Scenario(tmp=str(tmp_path))
+    folder = scenario.node.admin_service.folder
     assert folder is not None
     for pid in (7, 8):
-        heir = UpgradePeer(pid, folder.started_ns + pid, "starting")
-        with unittest.mock.patch.object(folder, "find_peers", return_value=[heir]):
-            play.node.admin_service.upgrade.update_peers()
+        successor = UpgradePeer(pid, folder.started_ns + pid, "starting")
+        with unittest.mock.patch.object(folder, "find_peers", return_value=[successor]):
+            scenario.node.admin_service.upgrade.update_peers()
             eventually((folder.path / f"legacy.{pid}").exists)
-    play.close()
+    scenario.close()
 
 
-def test_evacuate_with_a_thousand_kept_connections() -> None:
+def test_evacuation_closes_a_thousand_idle_connections() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 8192), hard))
-    play = Scenario(sockets=4096)
+    scenario = Scenario(sockets=4096)
     try:
-        where = play.node.http1.sock.getsockname()
-        kept = []
-        for _ in range(1000):  # each asks at once: one that said nothing for 2 s would be ended
-            kept.append(socket.create_connection(where))
-            kept[-1].sendall(b"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
-        for sock in kept:
+        http1_address = scenario.node.http1.sock.getsockname()
+        idle = []
+        for _ in range(1000):  # each sends immediately: a connection without a request is closed after 2 s
+            idle.append(socket.create_connection(http1_address))
+            idle[-1].sendall(b"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
+        for sock in idle:
             sock.settimeout(5.0)
             assert b" 200 " in sock.recv(4096)
-        began = time.monotonic()
-        play.run("staff call POST /api/evacuate 200", close=False)
-        for sock in kept:
+        started_s = time.monotonic()
+        scenario.run("staff call POST /api/evacuate 200", close=False)
+        for sock in idle:
             assert not sock.recv(1)
             sock.close()
-        assert time.monotonic() - began < 4.0  # of the front's four seconds
-        eventually(lambda: play.node.admin_service.lifecycle.phase.value == "evacuated")
+        assert time.monotonic() - started_s < 4.0  # the load balancer in front allows four seconds
+        eventually(lambda: scenario.node.admin_service.lifecycle.phase.value == "evacuated")
     finally:
-        play.close()
+        scenario.close()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_evacuate_with_pipelined_requests_and_a_slow_reader() -> None:
-    """The second of two requests sent at once is not taken: its connection has ended with the first answer.
-    A reader that takes its time gets all of its answer, long after idle connections were ended.
+def test_evacuation_with_pipelined_requests_and_a_slow_reader() -> None:
+    """The second of two pipelined requests is not accepted: the first answer closes their connection.
+
+    A slow reader gets its whole answer, long after idle connections were closed.
     """
-    play = Scenario()
+    scenario = Scenario()
     get = f"GET {TILE} HTTP/1.1\\r\\nHost: x\\r\\nReq-Id: %s\\r\\nReq-Wait-Ms: 3000\\r\\n\\r\\n"
     with unittest.mock.patch.object(resp, "MAX_BODY_BYTES", 9 << 20):
-        play.run(
+        scenario.run(
             f"""
             client slow send GET {TILE}?nth=7 Req-Wait-Ms:3000
             cache expect s
