--- a/lupintack/node.py
+++ b/lupintack/node.py
@@ -31,7 +31,7 @@
 from lupintack.reload import reload_files
 from lupintack.settings import files
 
-if TYPE_CHECKING:  # imported only where the feature is on
+if TYPE_CHECKING:  # imported only if the feature is on
     from lupintack.fleet.transport import FleetTransport
     from lupintack.fronts.cdni.conf import Cdni
     from lupintack.fronts.cdni.front import CdniFront
--- a/lupintack/settings/budget_plan.py
+++ b/lupintack/settings/budget_plan.py
@@ -7,7 +7,7 @@
 
 from lupintack.settings.errors import ConfigError
 
-if TYPE_CHECKING:  # loaded only where budgets are divided
+if TYPE_CHECKING:  # imported only if budgets are enabled
     from lupintack.budgets.regions import Region, RegionPlan
     from lupintack.budgets.spending import Budget
     from lupintack.settings.operator import Budgets
@@ -15,20 +15,20 @@
 ALLOWED_VOTER_COUNTS = (1, 3, 5, 7, 9)
 
 
-def budget(name: str, whole: int, once: bool, reserved_per_mille: int) -> Budget:
+def budget(name: str, total: int, is_concurrent: bool, reserved_per_mille: int) -> Budget:
     """Return a budget as given in the operator file."""
     from lupintack.budgets.spending import Budget, BudgetKind
 
-    kind = BudgetKind.CONCURRENT if once else BudgetKind.RATE
-    return Budget(name, whole, kind, reserved_per_mille=reserved_per_mille)
+    kind = BudgetKind.CONCURRENT if is_concurrent else BudgetKind.RATE
+    return Budget(name, total, kind, reserved_per_mille=reserved_per_mille)
 
 
 def budget_list(table: Budgets) -> list[Budget]:
     """Return all budgets, in the order of the amounts in the routers' messages."""
     reserved = table.floor_percent * 10
     return [
-        *(budget(name, whole, False, reserved) for name, whole in sorted(table.per_second.items())),
-        *(budget(name, whole, True, reserved) for name, whole in sorted(table.at_once.items())),
+        *(budget(name, total, False, reserved) for name, total in sorted(table.per_second.items())),
+        *(budget(name, total, True, reserved) for name, total in sorted(table.at_once.items())),
     ]
 
 
--- a/lupintack/settings/files.py
+++ b/lupintack/settings/files.py
@@ -26,11 +26,11 @@
 PATH_STEP = re.compile(r"\.?([^.\[\]]+)|\[(\d+|\.\.\.)\]")
 
 
-def address(text: object, what: str) -> tuple[str, int]:
-    """Parse `host:port`; raise ConfigError, prefixed with `what`, for any other text."""
+def address(text: object, label: str) -> tuple[str, int]:
+    """Parse `host:port`; raise ConfigError, prefixed with `label`, for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{what}: expected host:port, not {str(text)!r}")
+        raise ConfigError(f"{label}: expected host:port, not {str(text)!r}")
     return host.strip("[]"), int(port)
 
 
@@ -98,19 +98,19 @@
         except (KeyError, IndexError, TypeError, ValueError):
             value = None
     if unknown:
-        where = f"[{join_path(steps)}] " if steps else ""
+        table = f"[{join_path(steps)}] " if steps else ""
         content = value.get(unknown[1]) if isinstance(value, dict) else None
         kind = "table" if isinstance(content, dict) else "key"
         return (
-            f"{name}: {where}{unknown[1]}: {shorten(content)}: no such {kind}; see `lupintack config schema`"
+            f"{name}: {table}{unknown[1]}: {shorten(content)}: no such {kind}; see `lupintack config schema`"
         )
     if missing:
-        where = f"[{join_path(steps)}] " if steps else ""
-        return f"{name}: {where}{missing[1]}: is missing"
+        table = f"[{join_path(steps)}] " if steps else ""
+        return f"{name}: {table}{missing[1]}: is missing"
     expected = re.sub(r", got .*$", "", message.replace("`", "")).removeprefix("Expected ")
     expected = re.sub(r"^str matching regex .*", "host:port", expected, flags=re.S)
-    where = f"[{join_path(steps[:-1])}] {steps[-1]}" if len(steps) > 1 else "".join(steps) or "file"
-    return f"{name}: {where}: {shorten(value)}: expected {expected}"
+    location = f"[{join_path(steps[:-1])}] {steps[-1]}" if len(steps) > 1 else "".join(steps) or "file"
+    return f"{name}: {location}: {shorten(value)}: expected {expected}"
 
 
 def join_path(steps: list[str]) -> str:
