--- a/lupintack/settings/files.py
+++ b/lupintack/settings/files.py
@@ -1,7 +1,7 @@
-"""The operator's TOML files: reading, and errors that name file, table, key, value and what is wanted.
+"""Reads the operator's TOML files; errors name the file, table, key, value and expected value.
 
-A file in which everything is off is not read any further: the records need `msgspec`, whose 1.6 MB the
-platform's smallest machines don't have to spare. `lupintack config check` reads every table, on or off.
+A file in which every feature is off is not converted to records: that needs `msgspec`, whose 1.6 MB the
+platform's smallest machines can't spare. `lupintack config check` converts every table, on or off.
 """
 
 from __future__ import annotations
@@ -16,46 +16,46 @@
 from lupintack.settings.errors import ConfigError
 
 T = TypeVar("T")
-TRIES = 20
-AGAIN_S = 0.05
-PASSING = frozenset(
+MAX_READ_ATTEMPTS = 20
+READ_RETRY_INTERVAL_S = 0.05
+TRANSIENT_ERRNOS = frozenset(
     {errno.EINTR, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EAGAIN, errno.ENOBUFS}
 )
-"""Of open and read (their manual pages): may be otherwise a moment later."""
-AT = re.compile(r"(?P<what>.*?)(?: - at `\$(?P<path>[^`]*)`)?", re.S)
-STEP = re.compile(r"\.?([^.\[\]]+)|\[(\d+|\.\.\.)\]")
+"""Errors of open and read that may pass soon, by their manual pages."""
+VALIDATION_ERROR = re.compile(r"(?P<message>.*?)(?: - at `\$(?P<path>[^`]*)`)?", re.S)
+PATH_STEP = re.compile(r"\.?([^.\[\]]+)|\[(\d+|\.\.\.)\]")
 
 
-def address(text: object, what: str) -> tuple[str, int]:
-    """`host:port` as a pair; ConfigError, led by `what`, for anything else."""
+def address(text: object, label: str) -> tuple[str, int]:
+    """Parse `host:port`; raise ConfigError, prefixed with `label`, for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{what}: host:port is wanted, not {str(text)!r}")
+        raise ConfigError(f"{label}: expected host:port, not {str(text)!r}")
     return host.strip("[]"), int(port)
 
 
-def content(path: Path) -> bytes:
-    """A file's bytes; OSError as the last try had it.
+def read_bytes(path: Path) -> bytes:
+    """Return a file's content; raise the OSError of the last attempt.
 
-    Errors that may pass are tried again for a second: a start would be over, and a SIGHUP lost, for one call
-    that failed once.
+    Transient errors are retried for a second. Without retries, one failed call would end the start or lose a
+    SIGHUP.
     """
-    for _ in range(TRIES - 1):
+    for _ in range(MAX_READ_ATTEMPTS - 1):
         try:
             with open(path, "rb") as file:
                 return file.read()
         except OSError as error:
-            if error.errno not in PASSING:
+            if error.errno not in TRANSIENT_ERRNOS:
                 raise
-        time.sleep(AGAIN_S)
+        time.sleep(READ_RETRY_INTERVAL_S)
     with open(path, "rb") as file:
         return file.read()
 
 
-def read(path: Path) -> dict[str, Any] | None:
-    """A TOML file's content; None where there is no such file, ConfigError for one that can't be read."""
+def read_toml(path: Path) -> dict[str, Any] | None:
+    """Return a TOML file's content, None if it doesn't exist; raise ConfigError if it can't be read."""
     try:
-        return tomllib.loads(content(path).decode())
+        return tomllib.loads(read_bytes(path).decode())
     except FileNotFoundError:
         return None
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -63,60 +63,62 @@
 
 
 def is_off(data: dict[str, Any]) -> bool:
-    """Whether the file, or each of its tables, says `enabled = false` in so many words.
+    """Return whether the file, or each of its tables, has an explicit `enabled = false`.
 
-    Guards against a misspelt key that would leave a feature off unnoticed: a table without the word is
-    read in full.
+    Guards against a misspelt key that would silently leave a feature off: a table without `enabled` is
+    checked in full.
     """
     if "enabled" in data:
         return data["enabled"] is False
-    return all(isinstance(one, dict) and one.get("enabled") is False for one in data.values())
+    return all(isinstance(table, dict) and table.get("enabled") is False for table in data.values())
 
 
-def record(kind: type[T], data: dict[str, Any], name: str) -> T:
-    """The file's content as a typed record; ConfigError says in one line what is wrong and where."""
+def parse_record(kind: type[T], data: dict[str, Any], name: str) -> T:
+    """Convert a file's content to a typed record; raise a ConfigError that locates the fault in one line."""
     import msgspec
 
     try:
         return msgspec.convert(data, kind, strict=True)
     except msgspec.ValidationError as error:
-        raise ConfigError(worded(str(error), data, name)) from None
+        raise ConfigError(describe_error(str(error), data, name)) from None
 
 
-def worded(text: str, data: Any, name: str) -> str:
-    """A validation error's text with the table, the key and the value that it is about."""
-    found = AT.fullmatch(text)
-    what, path = (found["what"], found["path"] or "") if found else (text, "")
-    unknown = re.fullmatch(r"Object contains unknown field `(.*)`", what)
-    missing = re.fullmatch(r"Object missing required field `(.*)`", what)
+def describe_error(text: str, data: Any, name: str) -> str:
+    """Return a validation error's text with the table, the key and the value that it refers to."""
+    match = VALIDATION_ERROR.fullmatch(text)
+    message, path = (match["message"], match["path"] or "") if match else (text, "")
+    unknown = re.fullmatch(r"Object contains unknown field `(.*)`", message)
+    missing = re.fullmatch(r"Object missing required field `(.*)`", message)
     steps: list[str] = []
     value = data
-    for key, place in STEP.findall(path):
-        steps.append(key or f"[{place}]")
+    for key, index in PATH_STEP.findall(path):
+        steps.append(key or f"[{index}]")
         try:
-            value = value[key] if key else value[int(place)]
+            value = value[key] if key else value[int(index)]
         except (KeyError, IndexError, TypeError, ValueError):
             value = None
     if unknown:
-        where = f"[{joined(steps)}] " if steps else ""
-        held = value.get(unknown[1]) if isinstance(value, dict) else None
-        thing = "table" if isinstance(held, dict) else "key"
-        return f"{name}: {where}{unknown[1]}: {short(held)}: no such {thing}; see `lupintack config schema`"
+        table = f"[{join_path(steps)}] " if steps else ""
+        content = value.get(unknown[1]) if isinstance(value, dict) else None
+        kind = "table" if isinstance(content, dict) else "key"
+        return (
+            f"{name}: {table}{unknown[1]}: {shorten(content)}: no such {kind}; see `lupintack config schema`"
+        )
     if missing:
-        where = f"[{joined(steps)}] " if steps else ""
-        return f"{name}: {where}{missing[1]}: is missing"
-    wanted = re.sub(r", got .*$", "", what.replace("`", "")).removeprefix("Expected ")
-    wanted = re.sub(r"^str matching regex .*", "host:port", wanted, flags=re.S)
-    where = f"[{joined(steps[:-1])}] {steps[-1]}" if len(steps) > 1 else "".join(steps) or "file"
-    return f"{name}: {where}: {short(value)}: wanted is {wanted}"
+        table = f"[{join_path(steps)}] " if steps else ""
+        return f"{name}: {table}{missing[1]}: is missing"
+    expected = re.sub(r", got .*$", "", message.replace("`", "")).removeprefix("Expected ")
+    expected = re.sub(r"^str matching regex .*", "host:port", expected, flags=re.S)
+    location = f"[{join_path(steps[:-1])}] {steps[-1]}" if len(steps) > 1 else "".join(steps) or "file"
+    return f"{name}: {location}: {shorten(value)}: expected {expected}"
 
 
-def joined(steps: list[str]) -> str:
-    """A path as TOML words it: host[0].path."""
+def join_path(steps: list[str]) -> str:
+    """Join the steps of a path in TOML notation: host[0].path."""
     return ".".join(steps).replace(".[", "[")
 
 
-def short(value: object) -> str:
-    """A value as an error shows it."""
+def shorten(value: object) -> str:
+    """Return the representation of a value, at most 60 characters long."""
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
