--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -239,7 +239,7 @@
     fleet = Fleet(Terms(sizes={"river-video": 120_000, "map-tiles": 12_000, "alert-ack": 40}))
     told = {"enabled": True, "listen": "127.0.0.1:0", "all_kib": 65536, "connection_kib": 32768}
     node = Node(parse(fleet.configuration(), {}), None, operator.parse({"http2": told}, "operator.toml"))
-    node.http2[0].wire_terms = replace(node.http2[0].wire_terms, fifo=fifo)
+    node.http2[0].wire_config = replace(node.http2[0].wire_config, fifo=fifo)
     node.start()
     address: Address = node.http2[0].sock.getsockname()
     line = H2Load(address)
--- a/lupintack/fronts/admin.py
+++ b/lupintack/fronts/admin.py
@@ -10,7 +10,7 @@
 from lupintack.fronts.exchange import Exchange, HttpError
 
 MAX_BODY_BYTES = 4096
-PERCENT = re.compile(r"%(?![0-9A-Fa-f]{2})")
+INVALID_PERCENT = re.compile(r"%(?![0-9A-Fa-f]{2})")
 
 
 class AdminResult(NamedTuple):
@@ -83,18 +83,18 @@
 
 def member_name(query: str) -> str:
     """Return the one `name` of a query, percent-decoded; raise HttpError for anything else."""
-    found = []
+    values = []
     for pair in query.split("&") if query else []:
         key, _, value = pair.partition("=")
         if key != "name":
             raise HttpError(400, "name=ID is the only parameter")
-        if PERCENT.search(value):
+        if INVALID_PERCENT.search(value):
             raise HttpError(400, "name: two hex digits are wanted after each %")
-        found.append(value)
-    if len(found) != 1:
+        values.append(value)
+    if len(values) != 1:
         raise HttpError(400, "name=ID is wanted, once")
     try:
-        text = unquote_to_bytes(found[0]).decode()
+        text = unquote_to_bytes(values[0]).decode()
     except UnicodeDecodeError:
         raise HttpError(400, "name: UTF-8 is wanted") from None
     if not text or not text.isprintable():
--- a/lupintack/fronts/http1.py
+++ b/lupintack/fronts/http1.py
@@ -53,12 +53,12 @@
         self.bodyless = bodyless
         self.closing = False
         self.accepting = True
-        self.accepted = False  # all that will ever come
+        self.accept_finished = False  # all that will ever come
         self.reading = True
         self.reuse = reuse
         self.connections: set[Http1Connection] = set()
         self.checked_us = self.evicted_us = 0  # when that was done last
-        self.lines = LineLimit(LOG_LINES_PER_S)
+        self.accept_log_limit = LineLimit(LOG_LINES_PER_S)
         self.lock = threading.Lock()
         # Between two clients the accepting thread looks after the connections there are.
         self.sock = bind_socket(address, CHECK_INTERVAL_S, reuse)
@@ -72,46 +72,46 @@
         try:
             self.accept_connections()
         finally:
-            self.accepted = True
+            self.accept_finished = True
             self.sock.close()
 
     def accept_connections(self) -> None:
         """Accept until `stop_accepting`; then only what is queued, as a close would reset it."""
-        until_us = 0
+        deadline_us = 0
         failures = sockets.AcceptFailures(self.count)
         while True:
             now = now_us()
             if not self.accepting:
-                if not until_us:
-                    until_us = now + int(ACCEPT_DRAIN_S * 1e6)
+                if not deadline_us:
+                    deadline_us = now + int(ACCEPT_DRAIN_S * 1e6)
                     self.sock.setblocking(False)
-                if now >= until_us:
+                if now >= deadline_us:
                     return
             self.check_connections(now)
             if len(self.connections) >= self.max_connections:
                 time.sleep(FULL_PAUSE_S)
                 continue
             try:
-                sock, where = self.sock.accept()
+                sock, peer_address = self.sock.accept()
             except BlockingIOError:
-                if until_us:
+                if deadline_us:
                     return
                 continue  # nobody has come since the last look
             except OSError as error:
                 evict = partial(self.evict_idle_connections, now)
-                pause_after_failed_accept(error, failures, self.lines, LOG, evict, self.accepting)
+                pause_after_failed_accept(error, failures, self.accept_log_limit, LOG, evict, self.accepting)
                 continue
             failures.succeeded()
-            self.begin(sock, str(where[0]))
+            self.start_connection(sock, str(peer_address[0]))
 
-    def begin(self, sock: socket.socket, peer_ip: str) -> None:
+    def start_connection(self, sock: socket.socket, peer_ip: str) -> None:
         """Start the thread of a new connection."""
         self.set_options(sock)
         conn = Http1Connection(self, sock, peer_ip)
         with self.lock:
             self.connections.add(conn)
-            late = not self.reading
-        if late:
+            reading_stopped = not self.reading
+        if reading_stopped:
             # Guards against a request that lay in the kernel while this thread was held up: it is read.
             with conn.lock:
                 conn.end_reading()
@@ -168,11 +168,11 @@
             conns = list(self.connections)
         ending = sum(conn.expired or conn.closed for conn in conns)
         idle = [(conn.had_request and not conn.is_lingering, -conn.idle_us(now), conn) for conn in conns]
-        idle = [one for one in idle if -one[1] >= MIN_IDLE_S * 1e6]
-        idle.sort(key=lambda one: one[:2])
+        idle = [candidate for candidate in idle if -candidate[1] >= MIN_IDLE_S * 1e6]
+        idle.sort(key=lambda candidate: candidate[:2])
         for _, _, conn in idle[: max(0, self.reserved_connections - ending)]:
             self.count("closed.for_room")
-            conn.expire(at_once=True)
+            conn.expire(immediately=True)
 
     def close_answers(self, closing: bool) -> None:
         """Set whether each answer ends its connection."""
@@ -223,7 +223,7 @@
         its thread has read it, or has yet to, and has not opened it when all open requests have been
         answered.
         """
-        if not self.accepting and not self.accepted:
+        if not self.accepting and not self.accept_finished:
             return True
         with self.lock:
             conns = list(self.connections)
--- a/lupintack/fronts/http1_closing.py
+++ b/lupintack/fronts/http1_closing.py
@@ -33,7 +33,7 @@
         pass  # the connection has ended
 
 
-def await_close(sock: socket.socket, closes_at_once: Callable[[], bool]) -> None:
+def await_close(sock: socket.socket, closes_immediately: Callable[[], bool]) -> None:
     """End this side, and drop what crosses that, until the client has closed, too.
 
     `closes_at_once`: the descriptor is wanted, and nothing is waited for.
@@ -52,7 +52,7 @@
             except BlockingIOError:
                 pass
             is_quiet = elapsed_us >= CLOSE_GRACE_S * 1e6 and not client_liveness.has_undelivered_data(sock)
-            if closes_at_once() or is_quiet:
+            if closes_immediately() or is_quiet:
                 return
             time.sleep(POLL_INTERVAL_S)
     except OSError:
--- a/lupintack/fronts/http1_connection.py
+++ b/lupintack/fronts/http1_connection.py
@@ -92,7 +92,7 @@
         self.had_request = False  # a whole request has come
         self.is_lingering = False  # it had its last answer, and is read on for a moment
         self.expired = False
-        self.closes_at_once = False
+        self.closes_immediately = False
         self.reading_ended = False  # we have ended the reading
         self.is_closing = False  # our end is said, and the client's is waited for
         self.socket_closed = False  # its socket is closed, or about to be
@@ -277,14 +277,14 @@
         limit = IDLE_TIMEOUT_S if self.had_request and not self.buffer else REQUEST_TIMEOUT_S
         return self.idle_us(now) >= limit * 1e6
 
-    def expire(self, at_once: bool = False) -> None:
+    def expire(self, immediately: bool = False) -> None:
         """End the reading: a request that has arrived and is not read yet is answered.
 
         `at_once`: its descriptor is wanted, and what crosses the end is not waited for.
         """
         with self.lock:
             if self.open_exchange is None and not self.writing and not self.expired:
-                self.expired, self.closes_at_once = True, at_once
+                self.expired, self.closes_immediately = True, immediately
                 self.end_reading()
 
     def end_reading(self) -> None:
@@ -345,8 +345,8 @@
     def write_all(self, data: list[bytes]) -> None:
         """Write parts on this thread, for as long as the client takes them."""
         try:
-            for one in data:
-                sockets.write(self.sock, one)
+            for part in data:
+                sockets.write(self.sock, part)
         except OSError:
             pass
 
@@ -372,7 +372,7 @@
         if exchange is not None:
             exchange.on_disconnected()
         if self.is_closing:
-            http1_closing.await_close(self.sock, lambda: self.closes_at_once)
+            http1_closing.await_close(self.sock, lambda: self.closes_immediately)
         self.socket_closed, self.is_closing = True, False
         sockets.close(self.sock)
         self.server.forget(self)
--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -46,7 +46,7 @@
         terms: StreamTerms,
         free_requests: Callable[[], int],
         header_list: int = 8192,
-        prefer: Callable[[HttpRequest], Priority] = lambda request: DEFAULT_PRIORITY,
+        default_priority: Callable[[HttpRequest], Priority] = lambda request: DEFAULT_PRIORITY,
         blocking: bool = False,
         retry_after_ms: int = 500,
         seed: int = 0,
@@ -61,20 +61,20 @@
         self.max_body_bytes = max_body_bytes
         self.terms = terms
         self.free_requests = free_requests
-        self.prefer = prefer
+        self.default_priority = default_priority
         self.blocking = blocking
         self.retry_after_ms = retry_after_ms
         self.random = Random(seed)
-        self.wire_terms = WireConfig(max_streams=terms.streams, max_header_list_bytes=header_list, fifo=fifo)
+        self.wire_config = WireConfig(max_streams=terms.streams, max_header_list_bytes=header_list, fifo=fifo)
         self.stream_table = StreamTable(terms)
         self.lock = threading.Lock()  # of the book; taken last, and nothing is called under it
         self.connections: dict[int, Http2Connection] = {}
-        self.calls: list[Callable[[], None]] = []
+        self.deferred_calls: list[Callable[[], None]] = []
         self.accepting = True
-        self.accepted = False  # all that will ever come
+        self.accept_finished = False  # all that will ever come
         self.draining = False
-        self.last_number = 0
-        self.lines = LineLimit(LOG_LINES_PER_S)
+        self.last_connection_number = 0
+        self.accept_log_limit = LineLimit(LOG_LINES_PER_S)
         self.sock = bind_socket(address, ACCEPT_TIMEOUT_S, reuse)
 
     def open(self) -> None:
@@ -89,51 +89,51 @@
     def run(self) -> None:
         """Accept connections until `stop_accepting`."""
         self.spawn(self.run_checks, "http2 sweep")
-        waiting = select.poll()
-        waiting.register(self.sock, select.POLLIN)
+        listener_poll = select.poll()
+        listener_poll.register(self.sock, select.POLLIN)
         try:
-            self.accept_connections(waiting)
+            self.accept_connections(listener_poll)
         finally:
-            self.accepted = True
+            self.accept_finished = True
             self.sock.close()
 
-    def accept_connections(self, waiting: select.poll) -> None:
+    def accept_connections(self, listener_poll: select.poll) -> None:
         """Accept until `stop_accepting`; then only what is queued, as a close would reset it."""
-        until_us = 0
+        deadline_us = 0
         failures = sockets.AcceptFailures(self.count)
         while True:
             if not self.accepting:
-                if not until_us:
-                    until_us = now_us() + int(ACCEPT_DRAIN_S * 1e6)
+                if not deadline_us:
+                    deadline_us = now_us() + int(ACCEPT_DRAIN_S * 1e6)
                     self.sock.setblocking(False)
-                if now_us() >= until_us:
+                if now_us() >= deadline_us:
                     return
             if len(self.connections) >= self.max_connections:
                 # Guards the descriptors: room is made by the end of a connection on which nothing is open,
                 # once somebody waits for it.
-                if waiting.poll(ACCEPT_TIMEOUT_S * 1000):
+                if listener_poll.poll(ACCEPT_TIMEOUT_S * 1000):
                     self.evict_idle_connection()
                     time.sleep(FULL_PAUSE_S)
                 continue
             try:
-                sock, where = self.sock.accept()
+                sock, peer_address = self.sock.accept()
             except BlockingIOError:
-                if until_us:
+                if deadline_us:
                     return
                 continue
             except OSError as error:
                 evict = self.evict_idle_connection
-                pause_after_failed_accept(error, failures, self.lines, LOG, evict, self.accepting)
+                pause_after_failed_accept(error, failures, self.accept_log_limit, LOG, evict, self.accepting)
                 continue
             failures.succeeded()
-            never = struct.pack("ll", 0, 0)
-            sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, never)  # inherited
-            self.begin(sock, str(where[0]))
+            no_timeout = struct.pack("ll", 0, 0)
+            sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, no_timeout)  # inherited
+            self.start_connection(sock, str(peer_address[0]))
 
-    def begin(self, sock: socket.socket, peer_ip: str) -> None:
+    def start_connection(self, sock: socket.socket, peer_ip: str) -> None:
         """Start the thread of a new connection."""
-        self.last_number += 1
-        conn = Http2Connection(self, sock, peer_ip, self.last_number)
+        self.last_connection_number += 1
+        conn = Http2Connection(self, sock, peer_ip, self.last_connection_number)
         with self.lock:
             self.stream_table.connect(conn.number, now_us(), self.random.random())
             self.connections[conn.number] = conn
@@ -156,9 +156,9 @@
             self.connections.pop(conn.number, None)
             self.stream_table.disconnect(conn.number)
 
-    def later(self, call: Callable[[], None]) -> None:
+    def call_later(self, call: Callable[[], None]) -> None:
         """Make a call soon that can't be made under the lock that its caller holds."""
-        self.calls.append(call)
+        self.deferred_calls.append(call)
 
     def evict_idle_connection(self) -> None:
         """End the connection that has been idle for longest, to make room for a new one."""
@@ -167,7 +167,7 @@
             conn = self.connections.get(number or 0)
         if conn is not None:
             self.count("http2.closed.for_room")
-            conn.begin_drain(at_once=True)
+            conn.begin_drain(immediately=True)
 
     def run_checks(self) -> None:
         """Check connections, as long as there are any or more may come."""
@@ -180,13 +180,13 @@
 
     def check_connections(self, now: int) -> None:
         """End streams and connections that are overdue, and advance those that drain."""
-        calls, self.calls = self.calls, []
-        for call in calls:
+        deferred_calls, self.deferred_calls = self.deferred_calls, []
+        for call in deferred_calls:
             call()
         with self.lock:
-            found = list(self.stream_table.due(now))
+            overdue = list(self.stream_table.due(now))
             conns = dict(self.connections)
-        for number, stream, due in found:
+        for number, stream, due in overdue:
             conn = conns.get(number)
             if conn is not None:
                 self.end(conn, stream, due)
@@ -208,10 +208,10 @@
         elif due is Due.SHUT:
             conn.wire.calm("the connection's window stays shut")
         elif due is Due.FIRST_LATE:
-            conn.begin_drain(at_once=True)
+            conn.begin_drain(immediately=True)
             conn.wire.finish("first late")
         else:
-            conn.begin_drain(at_once=due is Due.IDLE)
+            conn.begin_drain(immediately=due is Due.IDLE)
 
     def drain(self) -> None:
         """Announce the end to each connection, and to those that still come (SIGTERM)."""
@@ -241,9 +241,9 @@
         """Take no new streams; open ones are answered."""
         self.draining = True
         for conn in list(self.connections.values()):
-            conn.begin_drain(at_once=True)
+            conn.begin_drain(immediately=True)
 
     def busy(self) -> bool:
         """Return whether any request is unanswered, or may be: some connections have yet to be accepted."""
-        more = not self.accepting and not self.accepted
-        return more or any(conn.has_unanswered() for conn in list(self.connections.values()))
+        may_have_queued = not self.accepting and not self.accept_finished
+        return may_have_queued or any(conn.has_unanswered() for conn in list(self.connections.values()))
--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -38,7 +38,7 @@
     blocking: bool  # `handle` may wait
     retry_after_ms: int  # advised to a client that is rejected at capacity
     terms: StreamTerms
-    wire_terms: WireConfig
+    wire_config: WireConfig
     stream_table: StreamTable  # what all connections hold
     lock: threading.Lock  # of the book
 
@@ -47,10 +47,10 @@
         """Return how many requests the core would still take."""
 
     @property
-    def prefer(self) -> Callable[[HttpRequest], Priority]:
+    def default_priority(self) -> Callable[[HttpRequest], Priority]:
         """Return the priority of a request that names none."""
 
-    def later(self, call: Callable[[], None]) -> None:
+    def call_later(self, call: Callable[[], None]) -> None:
         """Make a call soon that can't be made under the lock that its caller holds."""
 
     def forget(self, conn: Http2Connection) -> None:
@@ -111,7 +111,7 @@
         self.lock = threading.Lock()
         self.last_stream = 0  # the stream that the last GOAWAY named
         self.sock = sock
-        self.wire = Wire(sock, server.wire_terms, self, server.spawn)
+        self.wire = Wire(sock, server.wire_config, self, server.spawn)
 
     def run(self) -> None:
         """Serve the connection; the whole life of its thread."""
@@ -154,7 +154,7 @@
             return
         request.received_us = self.wire.received_us
         exchange = self.open_exchanges[stream] = StreamExchange(self, stream, request, stated_length)
-        priority = server.prefer(request)
+        priority = server.default_priority(request)
         if "priority" in request.headers:
             priority = parse_priority(request.headers["priority"], priority)
         exchange.priority = priority
@@ -250,15 +250,15 @@
         exchange.on_disconnected = do_nothing  # it refers back to the exchange, and cycles are costly
         head_only = exchange.request.method == "HEAD" or status in (204, 304)
         if len(body) and not head_only:
-            write = exchange.request.method not in ("GET", "HEAD")
+            is_write = exchange.request.method not in ("GET", "HEAD")
             with server.lock:
-                decision = server.stream_table.answers(self.number, stream, len(body), write)
+                decision = server.stream_table.answers(self.number, stream, len(body), is_write)
             if decision is not StreamDecision.ACCEPT:
                 # Guards the memory: what can't wait is not served. A read may be tried again.
                 server.count("http2.no_room")
                 status, headers, body = (
                     (502, [], b"")
-                    if write
+                    if is_write
                     else (503, [(platform_headers.RETRY_AFTER, server.retry_after_ms)], b"")
                 )
         length = None if status in (204, 304) else len(body)
@@ -339,7 +339,7 @@
         """
         if stream in self.half_open:
             self.half_open.discard(stream)
-            self.server.later(lambda: self.wire.reset(stream, ErrorCodes.NO_ERROR))
+            self.server.call_later(lambda: self.wire.reset(stream, ErrorCodes.NO_ERROR))
 
     def on_window_closed(self, stream: int) -> None:
         """Note that an answer, or the connection (0), waits for window."""
@@ -353,13 +353,13 @@
 
     # The end of the connection
 
-    def begin_drain(self, at_once: bool = False) -> None:
+    def begin_drain(self, immediately: bool = False) -> None:
         """Announce the end of the connection; `at_once`: with the streams that were taken."""
         with self.wire.lock:
             now = now_us()
             if self.drain.begin(now):
                 self.wire.go_away(last=False)
-            if self.drain.last(now, at_once=at_once):
+            if self.drain.last(now, at_once=immediately):
                 self.send_last_goaway()
 
     def on_pong(self) -> None:
--- a/lupintack/fronts/http2_fields.py
+++ b/lupintack/fronts/http2_fields.py
@@ -17,8 +17,10 @@
 VALUE = re.compile(rb"(?:[!-~\x80-\xff](?:[\t -~\x80-\xff]*[!-~\x80-\xff])?)?")
 PATH = re.compile(rb"/[!-~]*|\*")
 METHOD = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-PSEUDO = frozenset((b":method", b":scheme", b":path", b":authority"))
-CONNECTION = frozenset((b"connection", b"proxy-connection", b"keep-alive", b"transfer-encoding", b"upgrade"))
+PSEUDO_FIELDS = frozenset((b":method", b":scheme", b":path", b":authority"))
+CONNECTION_FIELDS = frozenset(
+    (b"connection", b"proxy-connection", b"keep-alive", b"transfer-encoding", b"upgrade")
+)
 # Values that differ from answer to answer would push the others out of the table that both sides keep.
 NEVER_INDEXED = frozenset(("content-length", "etag", RETRY_AFTER.lower(), "location"))
 
@@ -30,7 +32,7 @@
 @lru_cache(256)
 def decode_name(name: bytes) -> str:
     """Return a field's name as text, empty where it can't be one; clients send the same few."""
-    if not NAME.fullmatch(name) or name in CONNECTION:
+    if not NAME.fullmatch(name) or name in CONNECTION_FIELDS:
         return ""
     return name.decode("latin-1")
 
@@ -42,7 +44,7 @@
     behind or beside this one would read in another way: fields of a connection, upper case, white space at
     the ends, two lengths, two hosts.
     """
-    pseudo, found = read_fields(headers)
+    pseudo, fields = read_fields(headers)
     method, path = pseudo.get(b":method", b""), pseudo.get(b":path", b"")
     if not METHOD.fullmatch(method):
         raise MalformedRequestError("no :method")
@@ -52,22 +54,22 @@
         raise MalformedRequestError("no :path or :scheme")
     if b":authority" in pseudo:
         authority = pseudo[b":authority"].decode("latin-1")
-        if not VALUE.fullmatch(pseudo[b":authority"]) or found.get("host", authority) != authority:
+        if not VALUE.fullmatch(pseudo[b":authority"]) or fields.get("host", authority) != authority:
             raise MalformedRequestError("two hosts")
-        found["host"] = authority
-    if len(found) > MAX_FIELDS:
+        fields["host"] = authority
+    if len(fields) > MAX_FIELDS:
         raise HttpError(431, "too many header fields")
-    request = HttpRequest(method.decode("latin-1"), path.decode("latin-1"), found)
-    return request, parse_length(found.get("content-length", ""))
+    request = HttpRequest(method.decode("latin-1"), path.decode("latin-1"), fields)
+    return request, parse_length(fields.get("content-length", ""))
 
 
 def read_fields(headers: Sequence[tuple[bytes, bytes]]) -> tuple[dict[bytes, bytes], dict[str, str]]:
     """Return pseudo-fields and fields; of one given twice a list is made, but for length and host."""
     pseudo: dict[bytes, bytes] = {}
-    found: dict[str, str] = {}
+    fields: dict[str, str] = {}
     for name, value in headers:
         if name[:1] == b":":
-            if name not in PSEUDO or name in pseudo or found:
+            if name not in PSEUDO_FIELDS or name in pseudo or fields:
                 raise MalformedRequestError("a pseudo-field unknown, doubled or late")
             pseudo[name] = value
             continue
@@ -77,12 +79,12 @@
         if key == "te" and value != b"trailers":
             raise MalformedRequestError("a field of the connection")
         text = value.decode("latin-1")
-        if key in found:
+        if key in fields:
             if key in ("content-length", "host"):
                 raise MalformedRequestError(f"two of {key}")
-            text = f"{found[key]}; {text}" if key == "cookie" else f"{found[key]}, {text}"
-        found[key] = text
-    return pseudo, found
+            text = f"{fields[key]}; {text}" if key == "cookie" else f"{fields[key]}, {text}"
+        fields[key] = text
+    return pseudo, fields
 
 
 def parse_length(text: str) -> int:
--- a/lupintack/fronts/listener.py
+++ b/lupintack/fronts/listener.py
@@ -65,7 +65,7 @@
 def pause_after_failed_accept(
     error: OSError,
     failures: AcceptFailures,
-    lines: LineLimit,
+    log_limit: LineLimit,
     log: logging.Logger,
     evict: Callable[[], None],
     is_accepting: bool,
@@ -77,7 +77,7 @@
     pause_s = failures.failed(error)
     if not pause_s or not is_accepting:
         return
-    if lines.allow(now_us()) >= 0:
+    if log_limit.allow(now_us()) >= 0:
         log.warning("accept failed", extra=fields(reason=error))
     if pause_s >= ACCEPT_LASTS_S:
         evict()
--- a/lupintack/fronts/platform.py
+++ b/lupintack/fronts/platform.py
@@ -18,9 +18,9 @@
 MARGIN_SHARE = 10  # and at most one part in so many of the wait
 
 
-def deadline_us(came_us: int, wait_ms: int) -> int:
+def deadline_us(received_us: int, wait_ms: int) -> int:
     """Return when a client that came at `came_us` stops waiting, less a margin."""
-    return came_us + wait_ms * 1000 - min(MAX_MARGIN_US, wait_ms * 1000 // MARGIN_SHARE)
+    return received_us + wait_ms * 1000 - min(MAX_MARGIN_US, wait_ms * 1000 // MARGIN_SHARE)
 
 
 class ClientSink:
@@ -82,7 +82,7 @@
         exchange.on_disconnected = lambda: self.core.on_client_disconnected(client_request)
         self.core.submit(client_request)
 
-    def prefer(self, request: HttpRequest) -> Priority:
+    def default_priority(self, request: HttpRequest) -> Priority:
         """Return the priority of a request's answer: writes (alert-ack) overtake reads."""
         return WRITE_PRIORITY if request.method == "PUT" else READ_PRIORITY
 
@@ -90,10 +90,10 @@
         """Return the request in the core's terms; raise Bad where a part of it is missing or wrong."""
         request, headers = exchange.request, exchange.request.headers
         target = platform_headers.match_target(request.target)
-        found = self.classes.get(target["class_name"]) if target is not None else None
-        if target is None or found is None:
+        class_entry = self.classes.get(target["class_name"]) if target is not None else None
+        if target is None or class_entry is None:
             raise HttpError(404, "no such class or object")
-        class_index, service_class = found
+        class_index, service_class = class_entry
         check_method(request.method, service_class)
         request_id = platform_headers.parse_request_id(headers)
         wait_ms = platform_headers.parse_wait_ms(headers)
--- a/lupintack/node.py
+++ b/lupintack/node.py
@@ -233,7 +233,7 @@
             stream_terms(http2),
             self.core.free_capacity,
             header_list=http2.header_list_bytes,
-            prefer=(lambda request: Priority()) if is_cdni else self.platform.prefer,
+            default_priority=(lambda request: Priority()) if is_cdni else self.platform.default_priority,
             blocking=is_cdni,
             retry_after_ms=int(self.conf.settings.max_retry_after_ms),
             seed=self.conf.seed,
--- a/lupintack/process/front_server.py
+++ b/lupintack/process/front_server.py
@@ -10,7 +10,7 @@
     """A listener with the clients' connections that it has accepted."""
 
     sock: socket.socket
-    accepted: bool  # no further connection will be accepted
+    accept_finished: bool  # no further connection will be accepted
 
     def open(self) -> None:
         """Begin to listen."""
--- a/lupintack/process/lifecycle_control.py
+++ b/lupintack/process/lifecycle_control.py
@@ -74,7 +74,11 @@
             for server in self._servers:
                 server.end_idle(idle_limit_us)
         self.publish_phase()
-        if is_stopping and not self._listeners_closed and all(server.accepted for server in self._servers):
+        if (
+            is_stopping
+            and not self._listeners_closed
+            and all(server.accept_finished for server in self._servers)
+        ):
             self._listeners_closed = True
             self.publish_phase()
 
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -626,7 +626,7 @@
         (conn,) = play.front.connections.values()
         conn.wire.is_calling = True
         conn.wire.session.highest_inbound_stream_id = 3  # read, and on its way
-        conn.begin_drain(at_once=True)
+        conn.begin_drain(immediately=True)
         assert app.streams and conn.last_stream == 3
         conn.on_headers(3, app.fields("GET", TILE))
         assert conn.open_exchanges.pop(3).request.target == TILE, "not refused: it was told as taken"
@@ -653,7 +653,7 @@
             return http2_fields.encode_response(*words)
 
         conn.wire.is_calling = True  # or the sweep would end it before it is asked
-        conn.begin_drain(at_once=True)
+        conn.begin_drain(immediately=True)
         conn.last_stream = 3  # the next stream is told as taken
         monkeypatch.setattr(
             http2_connection,
@@ -689,7 +689,7 @@
         app, silent = opened(play), opened(play)
         conns = list(play.front.connections.values())
         for conn in conns:
-            conn.begin_drain(at_once=True)
+            conn.begin_drain(immediately=True)
         eventually(lambda: all(conn.wire.ended for conn in conns))
         app.ask("GET", TILE)  # crosses our end, and is read
         assert play.front.busy() and all(conn.wire.is_lingering() for conn in conns)
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -339,7 +339,7 @@
     """Return the port of the platform's front over HTTP/2."""
     server = Http2Server(
         (LOOPBACK, 0), platform.handle, spawn, ignore, 8, 48_000, StreamTerms(), lambda: 100,
-        prefer=platform.prefer,
+        default_priority=platform.default_priority,
     )  # fmt: skip
     server.open()
     spawn(server.run, "recorded HTTP/2 server")
