--- a/lupintack/http2/schedule.py
+++ b/lupintack/http2/schedule.py
@@ -68,7 +68,7 @@
     queue: list[Flow] = field(default_factory=list)
     credit: int = 0
     deficit: int = 0  # of the queue's turn
-    fresh: bool = True  # the one at the front has not begun its turn
+    turn_not_started: bool = True  # the one at the front has not begun its turn
 
 
 class Schedule:
@@ -102,7 +102,7 @@
             return
         if size > 0:
             flow = self.flows[stream] = Flow(stream, priority, size)
-            self._enter(flow)
+            self._enqueue(flow)
 
     def drop(self, stream: int) -> int:
         """Forget a stream; return how many bytes it had left."""
@@ -110,21 +110,21 @@
         if flow is None:
             return 0
         if flow.ready:
-            self._leave(flow)
+            self._dequeue(flow)
         return flow.unwritten_bytes
 
-    def allow(self, stream: int) -> bool:
+    def resume(self, stream: int) -> bool:
         """Note that a stream has window again; return whether it had none."""
         flow = self.flows.get(stream)
         if flow is None or flow.ready:
             return False
         flow.ready = True
-        self._enter(flow)
+        self._enqueue(flow)
         return True
 
-    def allow_all(self) -> list[int]:
+    def resume_all(self) -> list[int]:
         """Note that all streams may have window again; return those that had none."""
-        return [stream for stream in list(self.flows) if self.allow(stream)]
+        return [stream for stream in list(self.flows) if self.resume(stream)]
 
     def take(self, max_bytes: int, window: Callable[[int], int]) -> tuple[int, int] | None:
         """Return the next stream and how many of its bytes it writes now; None where none can.
@@ -135,19 +135,19 @@
         if max_bytes <= 0:
             return None
         while True:
-            level = self._level()
+            level = self._select_level()
             if level is None:
                 return None
-            flow, is_queue = self._front(level)
-            if level.fresh:
-                level.fresh = False
+            flow, is_queue = self._first_flow(level)
+            if level.turn_not_started:
+                level.turn_not_started = False
                 if is_queue:
                     level.deficit += self.quantum
                 else:
                     flow.deficit += self.quantum
             window_bytes = window(flow.stream)
             if window_bytes <= 0:
-                self._leave(flow)
+                self._dequeue(flow)
                 flow.ready = False
                 continue
             credit = level.deficit if is_queue else flow.deficit
@@ -160,13 +160,13 @@
                 flow.deficit -= count
             if not flow.unwritten_bytes:
                 del self.flows[flow.stream]
-                self._leave(flow)
-            if count == credit and not level.fresh:
+                self._dequeue(flow)
+            if count == credit and not level.turn_not_started:
                 level.ring.rotate(-1)  # its turn is over
-                level.fresh = True
+                level.turn_not_started = True
             return flow.stream, count
 
-    def _level(self) -> Level | None:
+    def _select_level(self) -> Level | None:
         """The most urgent level with something to write and credit; all get credit where none has."""
         first = None
         for level in self.levels:
@@ -179,11 +179,11 @@
                 level.credit = self._credit(urgency)
         return first
 
-    def _front(self, level: Level) -> tuple[Flow, bool]:
+    def _first_flow(self, level: Level) -> tuple[Flow, bool]:
         flow = level.ring[0]
         return (level.queue[0], True) if flow is None else (flow, False)
 
-    def _enter(self, flow: Flow) -> None:
+    def _enqueue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
         flow.deficit = 0
         if flow.priority.shared:
@@ -192,24 +192,24 @@
         if not level.queue:
             level.ring.append(None)
             level.deficit = 0
-        at = len(level.queue)
-        while at and level.queue[at - 1].stream > flow.stream:
-            at -= 1
-        level.queue.insert(at, flow)
+        position = len(level.queue)
+        while position and level.queue[position - 1].stream > flow.stream:
+            position -= 1
+        level.queue.insert(position, flow)
 
-    def _leave(self, flow: Flow) -> None:
+    def _dequeue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
         if flow.priority.shared:
-            front = level.ring[0] is flow
+            was_first = level.ring[0] is flow
             level.ring.remove(flow)
         else:
             level.queue.remove(flow)
             if level.queue:
                 return
-            front = level.ring[0] is None
+            was_first = level.ring[0] is None
             level.ring.remove(None)
-        if front:
-            level.fresh = True
+        if was_first:
+            level.turn_not_started = True
 
 
 class Fifo(Schedule):
@@ -226,8 +226,8 @@
                 return flow.stream, count
         return None
 
-    def _enter(self, flow: Flow) -> None:
+    def _enqueue(self, flow: Flow) -> None:
         """There are no turns."""
 
-    def _leave(self, flow: Flow) -> None:
+    def _dequeue(self, flow: Flow) -> None:
         """There are no turns."""
--- a/lupintack/http2/session.py
+++ b/lupintack/http2/session.py
@@ -54,7 +54,7 @@
 hpack.hpack.log = hpack.table.log = SILENT_LOGGER  # type: ignore[assignment]
 
 
-def _no_length(headers: object) -> None:
+def _skip_length_check(headers: object) -> None:
     """The fronts compare lengths themselves."""
 
 
@@ -109,7 +109,7 @@
 
     def _begin_new_stream(self, stream_id: int, allowed_ids: Any) -> Any:
         stream = super()._begin_new_stream(stream_id, allowed_ids)
-        stream._initialize_content_length = _no_length  # type: ignore[method-assign]
+        stream._initialize_content_length = _skip_length_check  # type: ignore[method-assign]
         return stream
 
     def _receive_goaway_frame(self, frame: GoAwayFrame) -> tuple[list[Frame], list[Event]]:
--- a/lupintack/http2/wire.py
+++ b/lupintack/http2/wire.py
@@ -82,9 +82,9 @@
         try:
             with self.lock:
                 self.session.initiate_connection()
-                more = self.config.connection_window - 65_535
-                if more > 0:
-                    self.session.increment_flow_control_window(more)
+                window_increment = self.config.connection_window - 65_535
+                if window_increment > 0:
+                    self.session.increment_flow_control_window(window_increment)
                 self.pump()
             while not self.ended:
                 self.reads.before_read()
@@ -130,9 +130,9 @@
                 self._finish(f"protocol: {type(error).__name__}: {error}")
                 return
             self.bytes_since_event = 0 if events else self.bytes_since_event + len(data)
-            given_up = self.reset_streams(events)
+            reset_by_peer = self.streams_reset_by_peer(events)
             for event in events:
-                if isinstance(event, e.StreamEnded) and event.stream_id in given_up:
+                if isinstance(event, e.StreamEnded) and event.stream_id in reset_by_peer:
                     continue
                 if not self.on_event(event, calls):
                     self.calm("too many control frames")
@@ -147,14 +147,16 @@
         finally:
             self.is_calling = False
 
-    def reset_streams(self, found: Sequence[e.Event]) -> set[int]:
+    def streams_reset_by_peer(self, events: Sequence[e.Event]) -> set[int]:
         """Return the streams that a client has reset: their complete requests would be served for nobody.
 
         A client takes an answer all the same: a server may reset what it has answered (RFC 9113, 8.1).
         """
         if self.config.is_client:
             return set()
-        return {one.stream_id for one in found if isinstance(one, e.StreamReset) and one.remote_reset}
+        return {
+            event.stream_id for event in events if isinstance(event, e.StreamReset) and event.remote_reset
+        }
 
     def on_event(self, event: e.Event, calls: list[Callable[[], None]]) -> bool:
         """Handle one event, and add the call of the role; return False where the peer costs too much."""
@@ -170,8 +172,8 @@
             return self.on_window_updated(event.stream_id)
         elif isinstance(event, e.RemoteSettingsChanged):
             if SettingCodes.INITIAL_WINDOW_SIZE in event.changed_settings:
-                for allowed in self.schedule.allow_all():
-                    role.on_window_opened(allowed)
+                for stream in self.schedule.resume_all():
+                    role.on_window_opened(stream)
             return role.on_cost("control")
         elif isinstance(event, e.PingAckReceived) and event.ping_data == PING_DATA:
             calls.append(role.on_pong)
@@ -193,7 +195,7 @@
         """Let a stream, or the connection (0), write again; return False where the peer sends too many."""
         if stream == 0:
             self.on_connection_window()
-        elif self.schedule.allow(stream):
+        elif self.schedule.resume(stream):
             self.role.on_window_opened(stream)
         return self.role.on_cost("window")
 
@@ -310,8 +312,8 @@
     def unwritten_bytes(self) -> int:
         """Return how many bytes wait here, framed or not."""
         with self.lock:
-            waiting = sum(self.schedule.unwritten_bytes(stream) for stream in self.bodies)
-            return 0 if self.writer.is_closed else len(self.writer.framed) + waiting
+            body_bytes = sum(self.schedule.unwritten_bytes(stream) for stream in self.bodies)
+            return 0 if self.writer.is_closed else len(self.writer.framed) + body_bytes
 
     def _finish(self, reason: str) -> None:
         self.end_reason = self.end_reason or reason
@@ -339,10 +341,10 @@
                 self.abort("lingers")
 
     def _linger(self) -> None:
-        until = now_us() + int(LINGER_TIMEOUT_S * 1e6)
+        deadline_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
         try:
-            while (left := until - now_us()) > 0 and not self.writer.is_closed:
-                self.sock.settimeout(left / 1e6)
+            while (remaining_us := deadline_us - now_us()) > 0 and not self.writer.is_closed:
+                self.sock.settimeout(remaining_us / 1e6)
                 if not sockets.read(self.sock, READ_BYTES):
                     return
         except OSError:
@@ -380,10 +382,10 @@
                     self.window_closed = True
                     self.role.on_window_closed(0)
                 break
-            taken = self.schedule.take(max_bytes, self._window)
-            if taken is None:
+            scheduled = self.schedule.take(max_bytes, self._window)
+            if scheduled is None:
                 break
-            stream, count = taken
+            stream, count = scheduled
             view = self.bodies[stream]
             is_complete = count == len(view)
             try:
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -72,7 +72,7 @@
     windows = {1: 0, 3: 1 << 20}
     taken = [schedule.take(8192, windows.__getitem__) for _ in range(4)]
     assert [one and one[0] for one in taken] == [3, 3, 3, None]
-    assert schedule.allow(1) and not schedule.allow(1)
+    assert schedule.resume(1) and not schedule.resume(1)
     assert sum(count for _, count in drained(schedule)) == 20_000
 
 
@@ -138,11 +138,11 @@
             window[stream] = 0
         else:
             window.pop(stream, None)
-            schedule.allow(stream)
+            schedule.resume(stream)
         assert all(schedule.unwritten_bytes(one) == left for one, left in due.items())
     for stream in list(window):
         window.pop(stream)
-        schedule.allow(stream)
+        schedule.resume(stream)
     # Whoever has something to write writes within a bounded number of turns, whatever the others have.
     late: Counter[int] = Counter()
     while (one := take(16384)) is not None:
