--- a/lupintack/fronts/__init__.py
+++ b/lupintack/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: the wires on which requests come in. Each turns its own into what the core takes."""
+"""Fronts: the protocols by which clients send requests. Each converts them to the messages of the core."""
--- a/lupintack/fronts/admin.py
+++ b/lupintack/fronts/admin.py
@@ -1,4 +1,4 @@
-"""The second address: the operators' calls. It parses them and writes the answers; it decides nothing."""
+"""Operators' HTTP calls on the second address: parses them and writes answers, without decisions."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class AdminResult(NamedTuple):
-    """Result of a call: 2xx is a yes, and the text says why on one line."""
+    """Result of a call: the HTTP status (2xx for success), and the reason in one line of text."""
 
     status: int
     text: str
 
 
 class AdminCommands(Protocol):
-    """Executes the calls; none of them may wait for the core."""
+    """Executes the calls; no method may wait for the core."""
 
     def ready(self) -> AdminResult:
-        """Return whether the front should send requests here."""
+        """Return whether load balancers should send requests to this router."""
 
     def exclude(self, name: str) -> AdminResult:
         """Take a member out of use."""
@@ -33,22 +33,22 @@
         """Put a member back into use."""
 
     def evacuate(self) -> AdminResult:
-        """Begin to end clients' connections, and stay up."""
+        """Start to end the clients' connections; the process keeps running."""
 
     def rejoin(self) -> AdminResult:
-        """Take clients' connections again."""
+        """Accept clients' connections again."""
 
 
 class Admin:
-    """Handles the calls."""
+    """Handles the operators' calls."""
 
     def __init__(self, commands: AdminCommands, fleet_state: Callable[[], str] | None = None) -> None:
-        """`fleet_state`: returns what this router knows of the others, as JSON; None: not offered."""
+        """`fleet_state`: returns this router's view of the others as JSON; None: no /api/fleet."""
         self.commands = commands
-        self.fleet_state = fleet_state  # where routers talk: what this one knows of the others, as JSON
+        self.fleet_state = fleet_state
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one call, on the thread of its connection; the connection ends with the answer."""
+        """Answer one call on the thread of its connection, and close the connection after the answer."""
         request = exchange.request
         path, _, query = request.target.partition("?")
         method = {
@@ -82,7 +82,7 @@
 
 
 def member_name(query: str) -> str:
-    """Return the one `name` of a query, percent-decoded; raise HttpError for anything else."""
+    """Return the percent-decoded `name` of a query; raise HttpError for any other query."""
     values = []
     for pair in query.split("&") if query else []:
         key, _, value = pair.partition("=")
--- a/lupintack/fronts/exchange.py
+++ b/lupintack/fronts/exchange.py
@@ -1,4 +1,4 @@
-"""Terms that all HTTP fronts share: a request, the one answer to it, and an error that ends it."""
+"""Types that all HTTP fronts share: a request, its exchange, and an error to be sent as the answer."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class HttpError(ValueError):
-    """A request that gets an error as its answer."""
+    """A request that is answered with an error status."""
 
     def __init__(self, status: int, text: str) -> None:
-        """Take the status, and a text that the answer carries."""
+        """Store the status; `text` is the body of the answer."""
         super().__init__(text)
         self.status = status
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A request; header names are in lower case."""
+    """A request with its body; header names are in lower case."""
 
     method: str
     target: str
@@ -40,11 +40,11 @@
 
 
 def do_nothing() -> None:
-    """Ignore that a client has left."""
+    """Ignore that the client has disconnected."""
 
 
 class Exchange(Protocol):
-    """One request, on a connection or a stream; answered once."""
+    """One request on a connection or a stream, answered once."""
 
     request: HttpRequest
     peer_ip: str
@@ -57,14 +57,14 @@
         body: bytes | bytearray | memoryview = b"",
         close: bool = False,
     ) -> bool:
-        """Write the one answer; return False where the client has left, or there was an answer before."""
+        """Write the answer; return False if the client has disconnected or was answered before."""
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left, also a while after its request came."""
+        """Return whether the client has disconnected; may be called at any time after the request."""
 
 
 class ConnectionOwner(Protocol):
-    """A server, as its connections of any protocol use it; called on any thread."""
+    """The part of a server that its connections use, in any protocol; called on any thread."""
 
     max_body_bytes: int  # bytes
 
@@ -74,8 +74,8 @@
 
     @property
     def spawn(self) -> Callable[[Callable[[], None], str], None]:
-        """Return what runs a call on a thread of that name."""
+        """Return the function that runs a call on a new thread with the given name."""
 
     @property
     def count(self) -> Callable[[str], None]:
-        """Return what adds one to a counter."""
+        """Return the function that adds one to a counter."""
--- a/lupintack/fronts/http1.py
+++ b/lupintack/fronts/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server of a front: accepts connections, evicts idle ones, and ends them at a shutdown."""
+"""HTTP/1.1 server of a front: accepts connections, evicts idle ones, and closes them at shutdown."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 LOG = logging.getLogger("http1")
 MIN_IDLE_S = 0.04  # a connection is not closed to make room while its first request may be on its way
-CHECK_INTERVAL_S = 0.1  # between two looks at the connections
-EVICTION_INTERVAL_S = 0.01  # between two looks for some to end
-WRITE_TIMEOUT_S = 10  # a client that takes nothing for so long is cut off
-ACCEPT_DRAIN_S = 0.3  # for what is queued when the listening ends, where no place is free for it
-FULL_PAUSE_S = 0.002  # between two looks for room
-LOG_LINES_PER_S = 5  # on accepts that fail
+CHECK_INTERVAL_S = 0.1  # between two checks for overdue connections
+EVICTION_INTERVAL_S = 0.01  # between two evictions of idle connections
+WRITE_TIMEOUT_S = 10  # a client that accepts no bytes for this long is disconnected
+# Bounds the accepting of queued connections after the listener stops, if no place becomes free.
+ACCEPT_DRAIN_S = 0.3
+FULL_PAUSE_S = 0.002  # between two checks for a free place
+LOG_LINES_PER_S = 5  # for failed accepts
 
 
 class Http1Server:
-    """Listens on one address; every connection gets a thread, up to a bound."""
+    """Listens on one address; runs a thread per connection, up to a limit."""
 
     def __init__(
         self,
@@ -41,34 +42,33 @@
         reuse: bool = False,
         bodyless: bool = False,
     ) -> None:
-        """Bind the address. `reuse`: another process may, too; `bodyless`: requests have no body."""
+        """Bind the address. `reuse`: another process may bind it too; `bodyless`: requests have no body."""
         self.handle = handle
         self.spawn = spawn
         self.count = count
         self.max_connections = max_connections
-        self.reserved_connections = max(
-            1, max_connections // 8
-        )  # places kept free, by ending idle connections
+        # Places that are kept free by closing idle connections.
+        self.reserved_connections = max(1, max_connections // 8)
         self.max_body_bytes = max_body_bytes
         self.bodyless = bodyless
         self.closing = False
         self.accepting = True
-        self.accept_finished = False  # all that will ever come
+        self.accept_finished = False  # no further connection will be accepted
         self.reading = True
         self.reuse = reuse
         self.connections: set[Http1Connection] = set()
-        self.checked_us = self.evicted_us = 0  # when that was done last
+        self.checked_us = self.evicted_us = 0  # time of the last check, of the last eviction
         self.accept_log_limit = LineLimit(LOG_LINES_PER_S)
         self.lock = threading.Lock()
-        # Between two clients the accepting thread looks after the connections there are.
+        # The accept timeout lets the accepting thread check open connections between two accepts.
         self.sock = bind_socket(address, CHECK_INTERVAL_S, reuse)
 
     def open(self) -> None:
-        """Listen; ListenError where another process has the port."""
+        """Listen; raise ListenError if another process has the port."""
         listen(self.sock)
 
     def run(self) -> None:
-        """Accept connections, and close overdue ones between; close the listening socket at the end."""
+        """Accept connections and close overdue ones; close the listening socket at the end."""
         try:
             self.accept_connections()
         finally:
@@ -76,7 +76,7 @@
             self.sock.close()
 
     def accept_connections(self) -> None:
-        """Accept until `stop_accepting`; then only what is queued, as a close would reset it."""
+        """Accept until `stop_accepting`, then only queued connections: the close would reset them."""
         deadline_us = 0
         failures = sockets.AcceptFailures(self.count)
         while True:
@@ -96,7 +96,7 @@
             except BlockingIOError:
                 if deadline_us:
                     return
-                continue  # nobody has come since the last look
+                continue  # no new connection within the accept timeout
             except OSError as error:
                 evict = partial(self.evict_idle_connections, now)
                 pause_after_failed_accept(error, failures, self.accept_log_limit, LOG, evict, self.accepting)
@@ -112,17 +112,17 @@
             self.connections.add(conn)
             reading_stopped = not self.reading
         if reading_stopped:
-            # Guards against a request that lay in the kernel while this thread was held up: it is read.
+            # The client may have sent a request while this thread was delayed; it is still read.
             with conn.lock:
                 conn.end_reading()
         try:
             self.spawn(conn.run, "client")
         except RuntimeError as error:
-            LOG.error("no thread for a client", extra=fields(reason=error))
+            LOG.error("can't start a thread for a client", extra=fields(reason=error))
             conn.end()
 
     def set_options(self, sock: socket.socket) -> None:
-        """Set the options of a client's socket; one that can't be set costs less than a close would."""
+        """Set the options of a client's socket; count a failure, as a close would cost more."""
         limit = struct.pack("ll", WRITE_TIMEOUT_S, 0)
         if not all(
             [
@@ -130,7 +130,7 @@
                 sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_SNDTIMEO, limit),
                 sockets.set_option(
                     sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, struct.pack("ll", 0, 0)
-                ),  # inherited
+                ),  # otherwise inherited from the listener
             ]
         ):
             self.count("client.option_not_set")
@@ -138,8 +138,8 @@
     def check_connections(self, now: int) -> None:
         """Close overdue connections, and evict idle ones before their places are needed.
 
-        Guards the descriptors, as the members' connections need the rest of them. Where there is no place
-        yet, a connection waits in the kernel for a moment.
+        This bounds the descriptors of clients, as the connections to members need the rest. While no place is
+        free, new connections wait in the kernel's queue.
         """
         if now - self.checked_us >= CHECK_INTERVAL_S * 1e6:
             self.checked_us = now
@@ -150,7 +150,7 @@
             self.evict_idle_connections(now)
 
     def close_overdue(self, now: int) -> None:
-        """End connections that have waited too long for a request, or for the rest of one."""
+        """Close connections on which a request, or the rest of one, is overdue."""
         with self.lock:
             conns = list(self.connections)
         for conn in conns:
@@ -159,10 +159,10 @@
                 conn.expire()
 
     def evict_idle_connections(self, now: int) -> None:
-        """End connections without an open request: those that never had one, then the longest idle.
+        """Close connections without an open request: first those that never had one, then the longest idle.
 
-        Guards against clients that open connections and send nothing, or one request, and stay: others would
-        be locked out. A connection with an open request is never ended.
+        Without this, clients that open connections and send nothing, or one request, would lock others out.
+        A connection with an open request is never closed.
         """
         with self.lock:
             conns = list(self.connections)
@@ -175,22 +175,22 @@
             conn.expire(immediately=True)
 
     def close_answers(self, closing: bool) -> None:
-        """Set whether each answer ends its connection."""
+        """Set whether the connection is closed after each answer."""
         self.closing = closing
 
     def connection_count(self) -> int:
-        """Return how many connections clients hold."""
+        """Return the number of open client connections."""
         return len(self.connections)
 
     def drain(self) -> None:
-        """Do nothing: HTTP/1.1 can announce an end only with an answer, by `Connection: close`."""
+        """Do nothing: HTTP/1.1 can announce a close only in an answer, by `Connection: close`."""
 
     def stop_accepting(self) -> None:
-        """Accept nothing new, within CHECK_INTERVAL_S; what the kernel has, is served."""
+        """Stop accepting within CHECK_INTERVAL_S; connections that the kernel has queued are still served."""
         self.accepting = False
 
     def end_idle(self, idle_us: int) -> None:
-        """End connections without an open request for so long, even while a request is arriving."""
+        """Close connections without an open request for `idle_us`, even while a request is arriving."""
         now = now_us()
         with self.lock:
             conns = list(self.connections)
@@ -200,12 +200,12 @@
                 conn.expire()
 
     def forget(self, conn: Http1Connection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
         with self.lock:
             self.connections.discard(conn)
 
     def stop_reading(self) -> None:
-        """Take no new requests on open connections; open requests are answered."""
+        """Read no new requests on open connections; open requests are answered."""
         self.closing = True
         with self.lock:
             self.reading = False
@@ -219,9 +219,8 @@
     def busy(self) -> bool:
         """Return whether any request is unanswered, or may be, as connections have unread bytes.
 
-        Guards against a request that was taken in the last moment: its connection has yet to be accepted, or
-        its thread has read it, or has yet to, and has not opened it when all open requests have been
-        answered.
+        Counting open requests would miss one that arrived last: its connection is still in the accept queue,
+        or its thread is about to read it, or has read it and not opened it yet.
         """
         if not self.accepting and not self.accept_finished:
             return True
--- a/lupintack/fronts/http1_closing.py
+++ b/lupintack/fronts/http1_closing.py
@@ -1,7 +1,7 @@
-"""Ends of an HTTP/1.1 connection that lose no byte of its last answer.
+"""Closes an HTTP/1.1 connection without losing bytes of its last answer.
 
-A close over unread bytes resets the connection, and what the client has not read of the last answer goes with
-it: so the rest of what the client sends is read for a moment, and dropped.
+Closing a socket with unread bytes resets the connection, and the client loses the part of the last answer
+that it has not read. So bytes that the client still sends are read and dropped for a bounded time first.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 READ_BYTES = 65536
 LINGER_TIMEOUT_S = 1.5
-CLOSE_GRACE_S = 0.1  # by the protocol a request may cross this side's end for 50 ms
+CLOSE_GRACE_S = 0.1  # the platform's protocol lets a request cross this side's FIN for 50 ms
 POLL_INTERVAL_S = 0.01
 
 
 def linger(sock: socket.socket, is_expired: Callable[[], bool]) -> None:
-    """End this side after an error's answer, and read on until the client ends or `is_expired`."""
+    """Shut down writing after an error answer, and read until the client closes or `is_expired`."""
     until_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
     try:
         sock.shutdown(socket.SHUT_WR)
@@ -34,9 +34,9 @@
 
 
 def await_close(sock: socket.socket, closes_immediately: Callable[[], bool]) -> None:
-    """End this side, and drop what crosses that, until the client has closed, too.
+    """Shut down writing, and drop received bytes until the client has closed too.
 
-    `closes_at_once`: the descriptor is wanted, and nothing is waited for.
+    `closes_immediately`: returns True once the descriptor is needed; the wait then ends.
     """
     began_us = now_us()
     try:
--- a/lupintack/fronts/http1_connection.py
+++ b/lupintack/fronts/http1_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection of a front: requests in, answers out, one request at a time.
+"""One HTTP/1.1 connection of a front: reads requests and writes answers, one request at a time.
 
-Its thread reads. An answer is written by the thread that has it, as far as the kernel takes it at once; what
-is left goes to a thread of its own, so that a slow client delays no other.
+The connection's thread reads. The thread that calls `answer` writes the bytes that the kernel accepts without
+waiting; a separate thread writes the rest, so that a slow client delays no other.
 """
 
 from __future__ import annotations
@@ -25,27 +25,28 @@
 MAX_HEAD_BYTES = 8192
 HEAD_END = b"\r\n\r\n"
 READ_BYTES = 16384
-REQUEST_TIMEOUT_S = 2.0  # for a connection's first whole request, and for the rest of any that has begun
-IDLE_TIMEOUT_S = 6.0  # between requests: over the 4 s after which clients close idle connections
-DISCONNECT_POLL_S = 0.03  # between two looks whether a client has left, where its end can't be waited for
-BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r[^\n]")  # a line end that others may read as one, and we don't
+REQUEST_TIMEOUT_S = 2.0  # for a connection's first complete request, and for the rest of any started one
+IDLE_TIMEOUT_S = 6.0  # between requests; above the 4 s after which clients close idle connections
+DISCONNECT_POLL_S = 0.03  # between two checks for a disconnection, where no read can wait for it
+# A line end that other servers may accept and this one rejects.
+BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r[^\n]")
 
 
 class Http1ConnectionOwner(ConnectionOwner, Protocol):
-    """A server, as its connections use it."""
+    """The part of the server that its connections use."""
 
-    bodyless: bool  # requests have no body here
-    closing: bool  # each answer ends its connection
+    bodyless: bool  # requests have no body
+    closing: bool  # the connection is closed after each answer
 
     def forget(self, conn: Http1Connection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
 
 
 class Http1Exchange:
-    """One request on a connection; answered once."""
+    """One request on a connection, answered once."""
 
     def __init__(self, conn: Http1Connection, request: HttpRequest) -> None:
-        """Take the connection and its request."""
+        """Create the exchange for a request on a connection."""
         self.conn = conn
         self.request = request
         self.peer_ip = conn.peer_ip
@@ -58,7 +59,7 @@
         body: bytes | bytearray | memoryview = b"",
         close: bool = False,
     ) -> bool:
-        """Write the one answer; return False where the client has left, or there was an answer before."""
+        """Write the answer; return False if the client has disconnected or was answered before."""
         close = close or self.request.close or self.conn.server.closing or self.conn.is_last
         more = [("Connection", "close")] if close else []
         length = None if status in (204, 304) else len(body)
@@ -68,7 +69,7 @@
         return self.conn.reply(self, data, close)
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left."""
+        """Return whether the client has disconnected."""
         return self.conn.closed or client_liveness.has_closed(self.conn.sock)
 
 
@@ -76,7 +77,7 @@
     """One client's connection."""
 
     def __init__(self, server: Http1ConnectionOwner, sock: socket.socket, peer_ip: str) -> None:
-        """Take an accepted socket; `run` serves it."""
+        """Use an accepted socket; `run` serves it."""
         self.server = server
         self.sock = sock
         self.peer_ip = peer_ip
@@ -88,21 +89,21 @@
         self.open_exchange: Http1Exchange | None = None
         self.writing = False
         self.closed = False
-        self.is_last = False  # no request after this one
-        self.had_request = False  # a whole request has come
-        self.is_lingering = False  # it had its last answer, and is read on for a moment
+        self.is_last = False  # no request is read after the current one
+        self.had_request = False  # a complete request has been received
+        # The last answer is written, and received bytes are dropped for a bounded time.
+        self.is_lingering = False
         self.expired = False
         self.closes_immediately = False
-        self.reading_ended = False  # we have ended the reading
-        self.is_closing = False  # our end is said, and the client's is waited for
-        self.socket_closed = False  # its socket is closed, or about to be
-        self.end_reason = ""  # it ends, in a word, for the counters
-        self.waiting_since_us = (
-            now_us()
-        )  # of what is waited for: its first request, the rest of one, the next
+        self.reading_ended = False  # this side has shut down reading
+        self.is_closing = False  # this side has shut down, and waits for the client to close
+        self.socket_closed = False  # the socket is closed, or about to be
+        self.end_reason = ""  # name of the counter for the end of the connection
+        # Start of the wait for the first request, the rest of one, or the next.
+        self.waiting_since_us = now_us()
 
     def run(self) -> None:
-        """Serve requests until the connection ends; the whole life of its thread."""
+        """Serve requests until the connection ends; the main function of its thread."""
         try:
             while self.serve_one():
                 pass
@@ -116,7 +117,7 @@
             http1_closing.linger(self.sock, lambda: self.expired)
         except OSError as error:
             self.end_reason = f"broken.{type(error).__name__.lower()}"
-        except Exception:  # a fault of ours must not show as a silent drop
+        except Exception:  # the client gets an answer to an internal error, not a silent close
             self.end_reason = "fault"
             LOG.exception("request failed")
             self.server.count("rejected.500")
@@ -125,7 +126,7 @@
             self.end()
 
     def serve_one(self) -> bool:
-        """Read one request, hand it on and wait for its answer; return whether another may come."""
+        """Read one request, call the handler and wait for the answer; return whether to read on."""
         end = self.read_to_head_end()
         if end < 0:
             return False
@@ -136,7 +137,7 @@
         return self.await_answer(exchange)
 
     def read_to_head_end(self) -> int:
-        """Read until the buffer has a request's head; return where that ends, -1 at the connection's end."""
+        """Read until the buffer holds a head; return the offset of its end, -1 at the connection's end."""
         end = self.buffer.find(HEAD_END)
         while end < 0:
             if len(self.buffer) > MAX_HEAD_BYTES:
@@ -156,7 +157,7 @@
         return end
 
     def read_request(self, head_end: int) -> HttpRequest:
-        """Return the request whose head ends there in the buffer, and read its body."""
+        """Parse the request whose head ends at this offset of the buffer, and read its body."""
         if head_end > MAX_HEAD_BYTES:
             raise HttpError(431, "the head is too long")
         request, length = parse_head(bytes(self.buffer[:head_end]), self.server.bodyless)
@@ -174,12 +175,12 @@
         return request
 
     def await_answer(self, exchange: Http1Exchange) -> bool:
-        """Wait until a request is answered or its client has left; return whether another may come.
+        """Wait until a request is answered or its client has disconnected; return whether to read another.
 
-        The end of what the client sends shows that it has left or, where that can't be waited for, the
-        state of the connection. Guards against a read that waits for more while the next request lies in
-        the buffer: its answer would never come. Nor can the end be waited for behind bytes that are not
-        taken while a request is open, or where a request crossed this side's end of the reading.
+        A read that returns no bytes shows that the client has disconnected. The state of the connection is
+        polled instead where no read may wait: while the buffer holds the next request, whose answer would
+        never be written; behind bytes that are not read while a request is open; and after this side has shut
+        down reading.
         """
         while True:
             with self.lock:
@@ -194,23 +195,22 @@
             with self.lock:
                 unanswered = self.open_exchange is exchange
                 self.open_exchange = None
-                self.closed = (
-                    unanswered or not self.reading_ended
-                )  # else the end is ours: it is said, and seen off
+                # If only this side has ended the reading, `end` still closes in order.
+                self.closed = unanswered or not self.reading_ended
             if unanswered:
                 exchange.on_disconnected()
             return False
 
     def read_more(self) -> bool:
-        """Wait for bytes; return False at the end of the connection."""
+        """Wait for bytes and buffer them; return False at the end of the connection."""
         while True:
             self.reads.before_read()
             try:
                 data = sockets.read(self.sock, READ_BYTES)
                 break
             except BlockingIOError:
-                continue  # a limit inherited from the listener that could not be lifted
-            except OSError as error:  # broken in any way: its client has left
+                continue  # a timeout inherited from the listener that could not be removed
+            except OSError as error:  # any failure counts as a disconnection
                 self.end_reason = f"broken.{type(error).__name__.lower()}"
                 return False
         self.on_received(data)
@@ -219,16 +219,15 @@
     def read_early(self) -> bool:
         """Read bytes that arrive while a request is open; return whether the connection is broken.
 
-        Guards against a pipelined request whose time would count from when it is read: the deadline that its
-        attempts pass on would be later than the client's.
+        Otherwise the time of a pipelined request would count from when it is read after the open one, and its
+        attempts would get a later deadline than the client's.
         """
         if self.reading_ended or len(self.buffer) >= self.max_early_bytes:
             return False
         self.reads.before_read()
         try:
-            self.on_received(
-                self.sock.recv(READ_BYTES, socket.MSG_DONTWAIT)
-            )  # its end is looked for otherwise
+            # A result of no bytes is ignored: the caller checks for a disconnection.
+            self.on_received(self.sock.recv(READ_BYTES, socket.MSG_DONTWAIT))
         except BlockingIOError:
             pass
         except OSError as error:
@@ -237,23 +236,23 @@
         return False
 
     def on_received(self, data: bytes) -> None:
-        """Keep bytes and bounds on their arrival, which a process that was paused reads much later."""
+        """Buffer bytes with bounds on their arrival time: a process that was paused reads them much later."""
         self.buffer += data
         self.reads.after_read(len(data))
 
     def consume(self, length: int) -> int:
-        """Take bytes off the buffer; return when the last of them arrived, at the earliest."""
+        """Remove bytes from the buffer; return the earliest time at which the last can have arrived."""
         del self.buffer[:length]
         return self.reads.consume(length)
 
     def incomplete_request(self, where: str) -> HttpError:
-        """Return the error for a request that is not complete."""
+        """Return the error for an incomplete request; `where` names the part that is cut off."""
         if self.expired:
             return HttpError(408, f"the rest of the {where} does not come")
         return HttpError(400, f"the request ends inside its {where}")
 
     def idle_us(self, now: int) -> int:
-        """Return how long no request has been open; negative while one is."""
+        """Return how long no request has been open; -1 while one is open or the connection ends."""
         if self.open_exchange is not None or self.writing or self.expired or self.closed:
             return -1
         return now - self.waiting_since_us
@@ -261,26 +260,25 @@
     def has_unanswered(self) -> bool:
         """Return whether a request is unanswered, or may be, or its answer is being written.
 
-        Guards against an end of the process between the two halves of a long answer: while the kernel takes
-        the first, the request is not open any more, and the rest is not known yet. Both change under the
-        lock.
+        `reply` closes the request and learns which bytes remain in one step under the lock. A check without
+        the lock could run between the two, and the process would exit with half of an answer written.
         """
         with self.lock:
             return self.open_exchange is not None or self.writing or self.has_unread() or self.is_closing
 
     def has_unread(self) -> bool:
-        """Return whether its reading was ended, and its thread has yet to come to that end."""
+        """Return whether reading was shut down and received bytes may still be unread."""
         return self.reading_ended and not self.socket_closed
 
     def is_overdue(self, now: int) -> bool:
-        """Return whether a client has sent nothing, or half a request, for too long."""
+        """Return whether the client has sent nothing, or part of a request, for too long."""
         limit = IDLE_TIMEOUT_S if self.had_request and not self.buffer else REQUEST_TIMEOUT_S
         return self.idle_us(now) >= limit * 1e6
 
     def expire(self, immediately: bool = False) -> None:
-        """End the reading: a request that has arrived and is not read yet is answered.
+        """Shut down reading; a request that has arrived and is not read yet is still answered.
 
-        `at_once`: its descriptor is wanted, and what crosses the end is not waited for.
+        `immediately`: the descriptor is needed, so bytes that are still on their way are not waited for.
         """
         with self.lock:
             if self.open_exchange is None and not self.writing and not self.expired:
@@ -288,7 +286,7 @@
                 self.end_reading()
 
     def end_reading(self) -> None:
-        """End the reading, under the lock and with no open request; what has arrived is still read."""
+        """Shut down reading, under the lock, with no open request; bytes that have arrived are read."""
         self.is_last = self.reading_ended = True
         try:
             self.sock.shutdown(socket.SHUT_RD)
@@ -296,12 +294,13 @@
             pass
 
     def reply(self, exchange: Http1Exchange, data: list[bytes], close: bool) -> bool:
-        """Write the answer of the open request: what the kernel takes now, the rest on another thread."""
+        """Write the answer of the open request: what the kernel accepts now, the rest on a thread."""
         with self.lock:
             if self.open_exchange is not exchange or self.closed:
                 return False
             self.open_exchange = None
-            exchange.on_disconnected = do_nothing  # it refers back to the exchange, and cycles are costly
+            # Breaks the reference cycle with the exchange; cycles are costly to collect.
+            exchange.on_disconnected = do_nothing
             self.is_last = self.is_last or close
             remaining = self.write_now(data)
             if remaining:
@@ -313,7 +312,7 @@
         return True
 
     def write_now(self, data: list[bytes]) -> list[memoryview]:
-        """Write what the kernel takes without waiting; return what is left."""
+        """Write as much as the kernel accepts without waiting; return the rest."""
         try:
             return sockets.send_parts_now(self.sock, data)
         except OSError:
@@ -333,7 +332,7 @@
             self.after_write()
 
     def after_write(self) -> None:
-        """Go on after an answer is out, or end; under the lock."""
+        """Continue after an answer is written, or shut down after the last; under the lock."""
         self.answered.notify_all()
         self.waiting_since_us = now_us()
         if self.closed or self.is_last:
@@ -343,7 +342,7 @@
                 pass
 
     def write_all(self, data: list[bytes]) -> None:
-        """Write parts on this thread, for as long as the client takes them."""
+        """Write parts on this thread, and stop without an error if the client has disconnected."""
         try:
             for part in data:
                 sockets.write(self.sock, part)
@@ -351,13 +350,13 @@
             pass
 
     def usual_end_reason(self) -> str:
-        """Return who has ended the connection, where nothing went wrong."""
+        """Return the reason for an end without an error: this side, the last answer, or the client."""
         if self.reading_ended:
             return "by_us"
         return "last_answer" if self.is_last else "by_client"
 
     def end(self) -> None:
-        """End the connection, and wait until a writer has finished."""
+        """Close the connection, after a writer has finished."""
         with self.lock:
             exchange, self.open_exchange = self.open_exchange, None
             if not self.end_reason:
--- a/lupintack/fronts/http1_detection.py
+++ b/lupintack/fronts/http1_detection.py
@@ -1,4 +1,4 @@
-"""Clients that speak HTTP/1.1 to the HTTP/2 port: recognized by their first bytes, and answered so."""
+"""Detects HTTP/1.1 clients on the HTTP/2 port by their first bytes, and answers them in HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def speaks_http1(sock: socket.socket, timeout_ms: int) -> bool:
-    """Return whether the first bytes are HTTP/1.1; none is taken from the socket, and silence is none."""
+    """Return whether the first bytes are HTTP/1.1, without consuming them; False if none arrive in time."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     if not poll.poll(timeout_ms):
@@ -26,7 +26,7 @@
 
 
 def refuse_http1(sock: socket.socket) -> None:
-    """Answer in HTTP/1.1 that the port does not speak it, and close."""
+    """Answer with an HTTP/1.1 error that only HTTP/2 is served, and close."""
     try:
         sock.sendall(RESPONSE)
         sock.shutdown(socket.SHUT_WR)
@@ -34,5 +34,5 @@
         while sock.recv(READ_BYTES):
             pass
     except OSError:
-        pass  # the client has gone
+        pass  # the client has disconnected
     sock.close()
--- a/lupintack/fronts/http1_messages.py
+++ b/lupintack/fronts/http1_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: a request's head as bytes to a record, and the head of an answer. Pure."""
+"""Parses the head of an HTTP/1.1 request and encodes the head of a response. Pure functions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def parse_fields(lines: list[str]) -> dict[str, str]:
-    """Return header fields; repeated ones are joined, but for those that frame the message."""
+    """Return header fields; join repeated ones, or raise HttpError for Host and framing fields."""
     if len(lines) > MAX_HEADERS:
         raise HttpError(431, "too many header fields")
     headers: dict[str, str] = {}
@@ -35,7 +35,7 @@
 
 
 def parse_head(raw: bytes, bodyless: bool = False) -> tuple[HttpRequest, int]:
-    """Return a request and its body's length; `bodyless`: a POST may name none."""
+    """Return a request and its body's length; `bodyless`: PUT and POST need no Content-Length."""
     lines = raw.decode("latin-1").split("\r\n")
     match = REQUEST_LINE.fullmatch(lines[0])
     if match is None:
@@ -55,9 +55,8 @@
         raise HttpError(400, "Content-Length is no number")
     length = length.lstrip("0") or "0"
     if len(length) > MAX_LENGTH_DIGITS:
-        raise HttpError(
-            413, "the body is too long"
-        )  # cut off, it would be another length: the rest a request
+        # Fewer digits would be another length, and the rest of the body read as a request.
+        raise HttpError(413, "the body is too long")
     if method in ("PUT", "POST") and "content-length" not in headers and not bodyless:
         raise HttpError(411, "Content-Length is wanted")
     options = headers["connection"].lower().replace(" ", "").split(",") if "connection" in headers else []
--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -1,4 +1,4 @@
-"""Cleartext HTTP/2 server of a front, by prior knowledge: accepts connections, and ends overdue ones."""
+"""Cleartext HTTP/2 server of a front, by prior knowledge: accepts connections, and closes overdue ones."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 from lupintack.logs import LineLimit, fields
 
 LOG = logging.getLogger("http2")
-CHECK_INTERVAL_S = 0.05  # between two looks at what time has brought
-ACCEPT_TIMEOUT_S = 0.1  # between two looks whether to accept still
-ACCEPT_DRAIN_S = 0.3  # for what is queued when the listening ends, where no place is free for it
-FULL_PAUSE_S = 0.002  # between two looks for room
+CHECK_INTERVAL_S = 0.05  # between two checks for overdue streams and connections
+ACCEPT_TIMEOUT_S = 0.1  # between two checks whether to stop accepting
+# Bounds the accepting of queued connections after the listener stops, if no place becomes free.
+ACCEPT_DRAIN_S = 0.3
+FULL_PAUSE_S = 0.002  # between two checks for a free place
 MIN_IDLE_US = 40_000  # a connection is not closed to make room while its first request may be on its way
-LOG_LINES_PER_S = 5  # on accepts that fail
+LOG_LINES_PER_S = 5  # for failed accepts
 
 
 class Http2Server:
-    """Listens on one address; every connection gets a reader's thread, up to a bound."""
+    """Listens on one address; runs a reader thread per connection, up to a limit."""
 
     def __init__(
         self,
@@ -53,7 +54,7 @@
         fifo: bool = False,
         reuse: bool = False,
     ) -> None:
-        """`free_requests`: how many requests the core would still take; `blocking`: `handle` may wait."""
+        """`free_requests`: returns how many more requests the core accepts; `blocking`: `handle` may wait."""
         self.handle = handle
         self.spawn = spawn
         self.count = count
@@ -67,22 +68,23 @@
         self.random = Random(seed)
         self.wire_config = WireConfig(max_streams=terms.streams, max_header_list_bytes=header_list, fifo=fifo)
         self.stream_table = StreamTable(terms)
-        self.lock = threading.Lock()  # of the book; taken last, and nothing is called under it
+        # Of the stream table; acquired last, and nothing else is called under it.
+        self.lock = threading.Lock()
         self.connections: dict[int, Http2Connection] = {}
         self.deferred_calls: list[Callable[[], None]] = []
         self.accepting = True
-        self.accept_finished = False  # all that will ever come
+        self.accept_finished = False  # no further connection will be accepted
         self.draining = False
         self.last_connection_number = 0
         self.accept_log_limit = LineLimit(LOG_LINES_PER_S)
         self.sock = bind_socket(address, ACCEPT_TIMEOUT_S, reuse)
 
     def open(self) -> None:
-        """Listen; ListenError where another process has the port."""
+        """Listen; raise ListenError if another process has the port."""
         listen(self.sock)
 
     def apply(self, terms: StreamTerms) -> None:
-        """Use other bounds, for what arrives from now on (SIGHUP)."""
+        """Use other bounds for everything that arrives from now on (SIGHUP)."""
         with self.lock:
             self.terms = self.stream_table.terms = terms
 
@@ -98,7 +100,7 @@
             self.sock.close()
 
     def accept_connections(self, listener_poll: select.poll) -> None:
-        """Accept until `stop_accepting`; then only what is queued, as a close would reset it."""
+        """Accept until `stop_accepting`, then only queued connections: the close would reset them."""
         deadline_us = 0
         failures = sockets.AcceptFailures(self.count)
         while True:
@@ -109,8 +111,8 @@
                 if now_us() >= deadline_us:
                     return
             if len(self.connections) >= self.max_connections:
-                # Guards the descriptors: room is made by the end of a connection on which nothing is open,
-                # once somebody waits for it.
+                # Bounds the descriptors: a connection without open streams is closed only once a new one
+                # waits for its place.
                 if listener_poll.poll(ACCEPT_TIMEOUT_S * 1000):
                     self.evict_idle_connection()
                     time.sleep(FULL_PAUSE_S)
@@ -127,7 +129,7 @@
                 continue
             failures.succeeded()
             no_timeout = struct.pack("ll", 0, 0)
-            sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, no_timeout)  # inherited
+            sockets.set_option(sock, socket.SOL_SOCKET, socket.SO_RCVTIMEO, no_timeout)  # else inherited
             self.start_connection(sock, str(peer_address[0]))
 
     def start_connection(self, sock: socket.socket, peer_ip: str) -> None:
@@ -141,27 +143,27 @@
         try:
             self.spawn(conn.run, "http2 client")
         except RuntimeError as error:
-            LOG.error("no thread for a client", extra=fields(reason=error))
+            LOG.error("can't start a thread for a client", extra=fields(reason=error))
             sock.close()
             self.forget(conn)
 
     def explain(self) -> dict[str, int]:
-        """Return the present connections, streams and bytes, for the line of counters."""
+        """Return the current numbers of connections, streams and bytes, for the log line of counters."""
         with self.lock:
             return self.stream_table.explain()
 
     def forget(self, conn: Http2Connection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
         with self.lock:
             self.connections.pop(conn.number, None)
             self.stream_table.disconnect(conn.number)
 
     def call_later(self, call: Callable[[], None]) -> None:
-        """Make a call soon that can't be made under the lock that its caller holds."""
+        """Run a call in the next check; for callers under a lock that the call must not hold."""
         self.deferred_calls.append(call)
 
     def evict_idle_connection(self) -> None:
-        """End the connection that has been idle for longest, to make room for a new one."""
+        """Close the connection that has been idle for longest, to free a place for a new one."""
         with self.lock:
             number = self.stream_table.idlest(now_us(), MIN_IDLE_US)
             conn = self.connections.get(number or 0)
@@ -170,16 +172,16 @@
             conn.begin_drain(immediately=True)
 
     def run_checks(self) -> None:
-        """Check connections, as long as there are any or more may come."""
+        """Check connections until the server has stopped accepting and none is left."""
         while self.accepting or self.connections:
             try:
                 self.check_connections(now_us())
-            except Exception:  # one connection's fault must not end the care for the others
-                LOG.exception("sweep failed")
+            except Exception:  # an error in one connection must not end the checks of the others
+                LOG.exception("check of connections failed")
             time.sleep(CHECK_INTERVAL_S)
 
     def check_connections(self, now: int) -> None:
-        """End streams and connections that are overdue, and advance those that drain."""
+        """End overdue streams and connections, and advance the drain of connections."""
         deferred_calls, self.deferred_calls = self.deferred_calls, []
         for call in deferred_calls:
             call()
@@ -196,7 +198,7 @@
             conn.check_drain(now)
 
     def end(self, conn: Http2Connection, stream: int, due: Due) -> None:
-        """End a stream, or a connection, that is overdue."""
+        """End an overdue stream or connection."""
         self.count(f"http2.due.{due.name.lower()}")
         if due is Due.STALLED:
             conn.abandon_stream(stream)
@@ -214,36 +216,36 @@
             conn.begin_drain(immediately=due is Due.IDLE)
 
     def drain(self) -> None:
-        """Announce the end to each connection, and to those that still come (SIGTERM)."""
+        """Announce the end on all connections, also on those accepted from now on (SIGTERM)."""
         self.draining = True
         for conn in list(self.connections.values()):
             conn.begin_drain()
 
     def close_answers(self, closing: bool) -> None:
-        """Set whether the end is announced to connections; one to which it was announced ends."""
+        """Set whether the end is announced on connections; an announced end is not revoked."""
         if closing:
             self.drain()
         else:
             self.draining = False
 
     def connection_count(self) -> int:
-        """Return how many connections clients hold."""
+        """Return the number of open client connections."""
         return len(self.connections)
 
     def end_idle(self, idle_us: int) -> None:
-        """Do nothing: a draining connection ends when all is answered, so that no idle one is left."""
+        """Do nothing: a draining connection is closed once all requests are answered, so none stays idle."""
 
     def stop_accepting(self) -> None:
-        """Accept nothing new, within ACCEPT_TIMEOUT_S; what the kernel has accepted is served."""
+        """Stop accepting within ACCEPT_TIMEOUT_S; connections that the kernel has queued are still served."""
         self.accepting = False
 
     def stop_reading(self) -> None:
-        """Take no new streams; open ones are answered."""
+        """Accept no new streams; open ones are answered."""
         self.draining = True
         for conn in list(self.connections.values()):
             conn.begin_drain(immediately=True)
 
     def busy(self) -> bool:
-        """Return whether any request is unanswered, or may be: some connections have yet to be accepted."""
+        """Return whether any request is unanswered, or may be, as connections may still be queued."""
         may_have_queued = not self.accepting and not self.accept_finished
         return may_have_queued or any(conn.has_unanswered() for conn in list(self.connections.values()))
--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -1,8 +1,8 @@
-"""One cleartext HTTP/2 connection of a front: each stream is one exchange, served as HTTP/1.1's are.
+"""One cleartext HTTP/2 connection of a front: each stream is one exchange, served like one on HTTP/1.1.
 
-What a connection may hold is decided in `limits/streams.py`, what is written next in `http2/schedule.py`,
-when a connection ends in `limits/drain.py`; here they meet the wire. A stream is refused with REFUSED_STREAM
-only while the core has not received it. docs/http2.md has the life of a stream.
+`limits/streams.py` decides what a connection may hold, `http2/schedule.py` what is written next, and
+`limits/drain.py` when a connection ends; this module applies their decisions to the wire. A stream is refused
+with REFUSED_STREAM only before the core has received it. docs/http2.md describes the life of a stream.
 """
 
 from __future__ import annotations
@@ -33,32 +33,32 @@
 
 
 class Http2ConnectionOwner(ConnectionOwner, Protocol):
-    """A server, as its connections use it."""
+    """The part of the server that its connections use."""
 
     blocking: bool  # `handle` may wait
-    retry_after_ms: int  # advised to a client that is rejected at capacity
+    retry_after_ms: int  # retry time sent to a client that is rejected at capacity
     terms: StreamTerms
     wire_config: WireConfig
-    stream_table: StreamTable  # what all connections hold
-    lock: threading.Lock  # of the book
+    stream_table: StreamTable  # streams and bytes of all connections
+    lock: threading.Lock  # of the stream table
 
     @property
     def free_requests(self) -> Callable[[], int]:
-        """Return how many requests the core would still take."""
+        """Return the function for how many more requests the core accepts."""
 
     @property
     def default_priority(self) -> Callable[[HttpRequest], Priority]:
-        """Return the priority of a request that names none."""
+        """Return the function for the priority of a request without a priority field."""
 
     def call_later(self, call: Callable[[], None]) -> None:
-        """Make a call soon that can't be made under the lock that its caller holds."""
+        """Run a call in the next check; for callers under a lock that the call must not hold."""
 
     def forget(self, conn: Http2Connection) -> None:
-        """Forget a connection that is over."""
+        """Remove a closed connection."""
 
 
 class StreamExchange:
-    """One request on a stream; answered once."""
+    """One request on a stream, answered once."""
 
     __slots__ = (
         "conn", "stream", "request", "peer_ip", "on_disconnected", "disconnected", "stated_length", "chunks",
@@ -66,18 +66,18 @@
     )  # fmt: skip
 
     def __init__(self, conn: Http2Connection, stream: int, request: HttpRequest, stated_length: int) -> None:
-        """`stated_length`: of the body, -1 where the request names none."""
+        """`stated_length`: the content-length of the request, -1 if it has none."""
         self.conn = conn
         self.stream = stream
         self.request = request
         self.peer_ip = conn.peer_ip
         self.on_disconnected: Callable[[], None] = do_nothing
-        self.stated_length = stated_length  # the body's length as stated; -1 where it isn't
+        self.stated_length = stated_length  # from content-length; -1 without it
         self.chunks: list[bytes] = []
         self.received_bytes = 0
         self.priority = DEFAULT_PRIORITY
-        self.is_complete = False  # all of the request has come
-        self.disconnected = False  # the client has given it up, or its connection is gone
+        self.is_complete = False  # the whole request has been received
+        self.disconnected = False  # the stream was reset, or the connection has ended
 
     def answer(
         self,
@@ -86,14 +86,14 @@
         body: bytes | bytearray | memoryview = b"",
         close: bool = False,
     ) -> bool:
-        """Write the one answer; return False where the client has left, or there was an answer before."""
-        # One lock from the first look to the last byte: guards against a drain that finds nothing open and
-        # nothing to write between the two, and ends the connection.
+        """Write the answer; return False if the client has disconnected or was answered before."""
+        # Holds the lock from the removal of the open exchange until the answer is queued: between the two, a
+        # drain would see no open exchange and nothing to write, and end the connection.
         with self.conn.wire.lock:
             return self.conn.reply(self, status, list(headers), body)
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left; the system knows of a connection's end before it is read."""
+        """Return whether the client has disconnected; the kernel reports it before the end is read."""
         return self.disconnected or client_liveness.has_closed(self.conn.sock)
 
 
@@ -101,20 +101,20 @@
     """One client's connection."""
 
     def __init__(self, server: Http2ConnectionOwner, sock: socket.socket, peer_ip: str, number: int) -> None:
-        """Take an accepted socket; `number` is the connection's in the stream table."""
+        """Use an accepted socket; `number` identifies the connection in the stream table."""
         self.server = server
         self.peer_ip = peer_ip
         self.number = number
         self.drain = Drain()
-        self.open_exchanges: dict[int, StreamExchange] = {}  # by stream: not answered yet
-        self.half_open: set[int] = set()  # answered before the request was whole
+        self.open_exchanges: dict[int, StreamExchange] = {}  # by stream; not answered yet
+        self.half_open: set[int] = set()  # answered before the request was complete
         self.lock = threading.Lock()
         self.last_stream = 0  # the stream that the last GOAWAY named
         self.sock = sock
         self.wire = Wire(sock, server.wire_config, self, server.spawn)
 
     def run(self) -> None:
-        """Serve the connection; the whole life of its thread."""
+        """Serve the connection; the main function of its thread."""
         try:
             is_http1 = speaks_http1(self.sock, self.server.terms.first_us // 1000)
         except OSError:
@@ -126,14 +126,13 @@
             return
         self.wire.run()
 
-    # Requests: on the reader's thread
+    # Requests, on the reader's thread
 
     def on_headers(self, stream: int, headers: Sequence[Header]) -> None:
-        """Open an exchange for a request's fields, or refuse the stream."""
+        """Open an exchange for a request, or refuse its stream."""
         server, now = self.server, now_us()
         server.count("http2.streams")
-        # A stream that the last GOAWAY counted as taken may have been read, and not handed over, at that
-        # moment.
+        # The headers of a stream up to the last GOAWAY's id may have been read before that frame was sent.
         if self.drain.takes() or stream <= self.last_stream:
             with server.lock:
                 decision = server.stream_table.opens(self.number, stream, now, server.free_requests())
@@ -164,12 +163,12 @@
             self.wire.inform(stream, [(b":status", b"100")])
 
     def on_trailers(self, stream: int, headers: Sequence[Header]) -> None:
-        """Drop fields after the body; end the stream for those that can't be there."""
+        """Ignore trailers; reset the stream if they contain a pseudo-field."""
         if any(name[:1] == b":" for name, _ in headers):
             self.reset_malformed(stream, "a pseudo-field after the body")
 
     def on_data(self, stream: int, data: bytes) -> None:
-        """Keep a part of a request's body, within the bounds."""
+        """Store a part of a request's body, within the bounds."""
         exchange = self.open_exchanges.get(stream)
         if exchange is None or stream in self.half_open:
             return
@@ -189,7 +188,7 @@
                 self.wire.reset(stream, ErrorCodes.REFUSED_STREAM)
 
     def on_end(self, stream: int) -> None:
-        """Hand a complete request on to the core."""
+        """Call the handler for a complete request."""
         self.half_open.discard(stream)
         exchange = self.open_exchanges.get(stream)
         if exchange is None:
@@ -202,7 +201,7 @@
         request.body = exchange.chunks[0] if len(exchange.chunks) == 1 else b"".join(exchange.chunks)
         exchange.chunks = []
         if exchange.received_bytes:
-            request.received_us = self.wire.received_us  # its time counts from its last byte
+            request.received_us = self.wire.received_us  # the time of a request counts from its last byte
         with self.server.lock:
             self.server.stream_table.taken(self.number, stream)
         if self.server.blocking:
@@ -211,29 +210,29 @@
             self.handle(exchange)
 
     def handle(self, exchange: StreamExchange) -> None:
-        """Hand a complete request on, and answer for one that can't be taken."""
+        """Call the handler, and answer with an error if it raises one."""
         try:
             self.server.handle(exchange)
         except HttpError as error:
             self.answer_error(exchange, error)
-        except Exception:  # a fault of ours must not show as a silent drop
+        except Exception:  # the client gets an answer to an internal error, not a silent close
             LOG.exception("request failed")
             self.server.count("rejected.500")
             exchange.answer(500)
 
     def answer_error(self, exchange: StreamExchange, error: HttpError) -> None:
-        """Answer with an error and its text; the rest of the request is not wanted."""
+        """Answer with an error and its text; the rest of the request is ignored."""
         self.server.count(f"rejected.{error.status}")
         exchange.answer(error.status, [("Content-Type", "text/plain")], f"{error}\n".encode())
 
     def reset_malformed(self, stream: int, text: str) -> None:
-        """Reset a stream whose request is malformed (RFC 9113, section 8.1.1); no member gets it."""
+        """Reset a stream whose request is malformed (RFC 9113, section 8.1.1); no member receives it."""
         self.server.count("http2.malformed")
         self.abandon_stream(stream)
         self.wire.reset(stream, ErrorCodes.PROTOCOL_ERROR)
         self.spend(Cost.RESET, "too many malformed requests")
 
-    # Answers: on any thread
+    # Answers, on any thread
 
     def reply(
         self,
@@ -242,19 +241,20 @@
         headers: list[tuple[str, object]],
         body: bytes | bytearray | memoryview,
     ) -> bool:
-        """Write the answer of a stream, unless it is over; under the wire's lock."""
+        """Write the answer of a stream, unless the stream has ended; under the wire's lock."""
         stream, server = exchange.stream, self.server
         with self.lock:
             if self.open_exchanges.pop(stream, None) is None:
                 return False
-        exchange.on_disconnected = do_nothing  # it refers back to the exchange, and cycles are costly
+        # Breaks the reference cycle with the exchange; cycles are costly to collect.
+        exchange.on_disconnected = do_nothing
         head_only = exchange.request.method == "HEAD" or status in (204, 304)
         if len(body) and not head_only:
             is_write = exchange.request.method not in ("GET", "HEAD")
             with server.lock:
                 decision = server.stream_table.answers(self.number, stream, len(body), is_write)
             if decision is not StreamDecision.ACCEPT:
-                # Guards the memory: what can't wait is not served. A read may be tried again.
+                # Bounds the memory: an answer that can't be buffered is not sent. Reads may be retried.
                 server.count("http2.no_room")
                 status, headers, body = (
                     (502, [], b"")
@@ -265,7 +265,7 @@
         fields = http2_fields.encode_response(status, headers, length)
         data = b"" if head_only else body
         if not exchange.is_complete:
-            # Before the bytes: all of them may be out when `send` returns.
+            # Set before `send`, which may write all bytes before it returns.
             self.half_open.add(stream)
         sent = self.wire.send(stream, fields, data, exchange.priority)
         if not sent or not len(data):
@@ -273,10 +273,10 @@
             self.release_stream(stream)
         return sent
 
-    # Ends
+    # Ends of streams
 
     def on_reset(self, stream: int, code: int) -> None:
-        """Handle a stream that the client has cancelled."""
+        """Handle a stream that the client has reset."""
         self.server.count("http2.reset")
         self.abandon_stream(stream)
         self.spend(Cost.RESET, "too many resets")
@@ -287,17 +287,18 @@
             exchange = self.open_exchanges.pop(stream, None)
         self.release_stream(stream)
         if exchange is not None:
-            exchange.disconnected = True  # first: where the handler runs beside, it looks once on_left stands
+            # Set first: a concurrent handler checks it after it has set on_disconnected.
+            exchange.disconnected = True
             exchange.on_disconnected()
 
     def release_stream(self, stream: int) -> None:
-        """Release what a stream that is over has reserved."""
+        """Release what an ended stream has reserved."""
         self.half_open.discard(stream)
         with self.server.lock:
             self.server.stream_table.closes(self.number, stream, now_us())
 
     def on_closed(self, reason: str) -> None:
-        """Handle the end of the connection: the clients of all open exchanges have left."""
+        """Handle the end of the connection: notify all open exchanges of the disconnection."""
         with self.lock:
             open_exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
         self.server.forget(self)
@@ -307,24 +308,24 @@
             exchange.disconnected = True
             exchange.on_disconnected()
 
-    # Budgets, bytes and windows: under the wire's lock
+    # Frame budgets, bytes and windows, under the wire's lock
 
     def on_cost(self, kind: str) -> bool:
-        """Count a frame that costs; return False where the client has sent too many."""
+        """Count a control or window frame; return False if the client has sent too many."""
         with self.server.lock:
             return (
                 self.server.stream_table.spends(self.number, COSTS[kind], now_us()) is StreamDecision.ACCEPT
             )
 
     def spend(self, cost: Cost, text: str) -> None:
-        """Count a cost, and end the connection where there were too many."""
+        """Count a cost, and end the connection if its budget is exceeded."""
         with self.server.lock:
             decision = self.server.stream_table.spends(self.number, cost, now_us())
         if decision is StreamDecision.CALM:
             self.wire.calm(text)
 
     def on_written(self, stream: int, count: int, is_complete: bool) -> None:
-        """Count bytes of an answer that are out."""
+        """Count bytes of an answer that were framed."""
         with self.server.lock:
             self.server.stream_table.wrote(self.number, stream, count)
             if is_complete:
@@ -335,26 +336,26 @@
     def reset_half_open(self, stream: int) -> None:
         """Reset a stream that was answered before its request was complete (RFC 9113, section 8.1).
 
-        Guards against streams that stay half open for good, and that nothing counts any more.
+        Otherwise such streams would stay half open until the connection ends, without being counted.
         """
         if stream in self.half_open:
             self.half_open.discard(stream)
             self.server.call_later(lambda: self.wire.reset(stream, ErrorCodes.NO_ERROR))
 
     def on_window_closed(self, stream: int) -> None:
-        """Note that an answer, or the connection (0), waits for window."""
+        """Record that a stream, or the connection (0), waits for window."""
         with self.server.lock:
             self.server.stream_table.shut(self.number, stream, now_us())
 
     def on_window_opened(self, stream: int) -> None:
-        """Note that it has window again."""
+        """Record that a stream, or the connection (0), has window again."""
         with self.server.lock:
             self.server.stream_table.opened(self.number, stream, now_us())
 
-    # The end of the connection
+    # End of the connection
 
     def begin_drain(self, immediately: bool = False) -> None:
-        """Announce the end of the connection; `at_once`: with the streams that were taken."""
+        """Announce the end of the connection; `immediately`: send the last GOAWAY, too."""
         with self.wire.lock:
             now = now_us()
             if self.drain.begin(now):
@@ -363,7 +364,7 @@
                 self.send_last_goaway()
 
     def on_pong(self) -> None:
-        """Send the last GOAWAY: the client has seen the first."""
+        """Send the last GOAWAY, as the PONG shows that the client has read the first."""
         with self.wire.lock:
             if self.drain.last(now_us(), came_back=True):
                 self.send_last_goaway()
@@ -374,9 +375,9 @@
         self.wire.go_away(last=True)
 
     def has_unanswered(self) -> bool:
-        """Return whether a request is unanswered, or may be, as the client does not know yet that this ends.
+        """Return whether a request is unanswered, or may be, as the client may not have read a GOAWAY yet.
 
-        Not while an answer is being begun, which the lock excludes.
+        The lock excludes the moment between the removal of an open exchange and the framing of its answer.
         """
         with self.wire.lock:
             wire = self.wire
@@ -386,11 +387,11 @@
             return bool(unanswered or (self.drain.takes() and not wire.ended))
 
     def check_drain(self, now: int) -> None:
-        """Send the last GOAWAY when it is due, and end the connection when all is answered."""
+        """Send the last GOAWAY when it is due, and end the connection once all requests are answered."""
         with self.wire.lock:
             if self.drain.last(now):
                 self.send_last_goaway()
-            # Guards streams that have been read and acknowledged, but not been submitted yet.
+            # While the role is being called, streams may have been read and accepted, but not opened yet.
             if not self.wire.is_calling and self.drain.over(
                 len(self.open_exchanges), self.wire.unwritten_bytes()
             ):
--- a/lupintack/fronts/listener.py
+++ b/lupintack/fronts/listener.py
@@ -15,32 +15,32 @@
 from lupintack.sockets import ACCEPT_LASTS_S, LOCAL, AcceptFailures
 
 LOG = logging.getLogger("listener")
-BACKLOG = 512  # connections that the kernel has taken and we have not
-START_TIMEOUT_S = (
-    3.0  # of a start, for calls that fail; with the start itself it stays under the 6 s of a short day
-)
+BACKLOG = 512  # connections in the kernel's accept queue
+# For retries of failed calls; with the rest of the start it stays under the 6 s of a short simulated day.
+START_TIMEOUT_S = 3.0
 RETRY_INTERVAL_S = 0.05
 TRANSIENT_ERRORS = LOCAL | {errno.EADDRINUSE}
-"""Of socket, setsockopt, bind and listen (their manual pages): may be otherwise a moment later."""
+"""Errors of socket, setsockopt, bind and listen (see their manual pages) that may be transient."""
 
 Result = TypeVar("Result")
 
 
 class ListenError(OSError):
-    """An address can't be listened at; the text says which, and why."""
+    """Listening on an address failed; the text names the address and the reason."""
 
 
 def bind_socket(address: tuple[str, int], accept_timeout_s: float, reuse: bool) -> socket.socket:
-    """Return a socket that is bound and does not listen yet; raise ListenError where that fails.
+    """Return a socket that is bound and does not listen yet; raise ListenError if that fails.
 
-    An accept gives up after `accept_timeout_s`. A port must not be listened on before all is ready: what the
-    kernel accepts needs an answer, and on a shared port each process gets what it listens for.
+    An accept times out after `accept_timeout_s`. Binding and listening are separate, as listening must start
+    only when the process can answer: the kernel accepts connections from then on, and on a shared port it
+    distributes them over all listening processes.
     """
     return with_retries(address, lambda: try_bind(address, accept_timeout_s, reuse))
 
 
 def try_bind(address: tuple[str, int], accept_timeout_s: float, reuse: bool) -> socket.socket:
-    """Try once to bind; raise OSError as the call had it."""
+    """Try once to bind; raise the OSError of a failed call."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -57,7 +57,7 @@
 
 
 def listen(sock: socket.socket) -> None:
-    """Listen at a bound socket; raise ListenError where that fails."""
+    """Listen on a bound socket; raise ListenError if that fails."""
     host, port = sock.getsockname()[:2]
     with_retries((host, port), lambda: sock.listen(BACKLOG))
 
@@ -70,9 +70,9 @@
     evict: Callable[[], None],
     is_accepting: bool,
 ) -> None:
-    """Count a failed accept; log it, evict idle connections where descriptors stay short, and pause.
+    """Count a failed accept, log it, evict idle connections if descriptors stay short, and pause.
 
-    Where the server accepts no more, the failure is counted and nothing else: its end must not be held up.
+    Once the server has stopped accepting, only count the failure, so that the shutdown is not delayed.
     """
     pause_s = failures.failed(error)
     if not pause_s or not is_accepting:
@@ -87,8 +87,7 @@
 def with_retries(address: tuple[str, int], call: Callable[[], Result]) -> Result:
     """Return a call's result; retry transient errors for START_TIMEOUT_S, then raise ListenError.
 
-    Guards against a start that ends because one call failed once: whoever restarts a router has none until
-    it is started again.
+    Without retries, one transient failure would end a start, and no router would run until the next start.
     """
     until = time.monotonic() + START_TIMEOUT_S
     tries = 1
--- a/lupintack/fronts/platform.py
+++ b/lupintack/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: content requests over HTTP become the core's requests, and results become answers."""
+"""The platform's front: converts HTTP requests to requests of the core, and results to HTTP answers."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 MAX_BODY_BYTES = 48_000
 WRITE_PRIORITY, READ_PRIORITY = Priority(0), Priority()
-# Taken off the client's wait, which began when it sent the request: a burst may delay the core's turn.
+# Subtracted from the client's wait, which starts when it sends: a burst may delay the core's turn.
 MAX_MARGIN_US = 100_000
-MARGIN_SHARE = 10  # and at most one part in so many of the wait
+MARGIN_SHARE = 10  # the margin is at most the wait divided by this
 
 
 def deadline_us(received_us: int, wait_ms: int) -> int:
-    """Return when a client that came at `came_us` stops waiting, less a margin."""
+    """Return when the client of a request received at `received_us` stops waiting, less a margin."""
     return received_us + wait_ms * 1000 - min(MAX_MARGIN_US, wait_ms * 1000 // MARGIN_SHARE)
 
 
 class ClientSink:
-    """Gives the one final answer of a request to its client."""
+    """Sends the final answer of a request to its client, once."""
 
     __slots__ = ("exchange",)
 
     def __init__(self, exchange: Exchange) -> None:
-        """Take the exchange that waits for the answer."""
+        """Store the exchange to be answered."""
         self.exchange = exchange
 
     def serve(self, answer: Answer, not_modified: bool) -> None:
-        """Answer with content, or that the client's own copy is current."""
+        """Answer with content, or 304 if the client's own copy is current."""
         tag = platform_headers.entity_tag(answer.tag)
         if not_modified:
             self.exchange.answer(304, tag)
@@ -41,7 +41,7 @@
             self.exchange.answer(200, tag, answer.body)
 
     def reject(self, wait_ms: int) -> None:
-        """Answer that the request was rejected before it ran; 0 ms: no time to retry is named."""
+        """Answer that the request was rejected before it ran; 0 ms: without a retry time."""
         self.exchange.answer(503, platform_headers.retry_after(wait_ms))
 
     def fail(self) -> None:
@@ -53,7 +53,7 @@
         self.exchange.answer(409)
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left."""
+        """Return whether the client has disconnected."""
         return self.exchange.is_disconnected()
 
 
@@ -61,17 +61,17 @@
     """Handles the platform's requests."""
 
     def __init__(self, core: Core, classes: tuple[str, ...], ready: Callable[[], bool]) -> None:
-        """`classes`: names in the order of the core's settings; `ready`: the answer to a health check."""
+        """`classes`: names in the order of the core's settings; `ready`: the result of a health check."""
         self.core = core
         self.classes = {name: (index, core.settings.classes[index]) for index, name in enumerate(classes)}
         self.ready = ready
 
     def apply_settings(self, classes: dict[str, tuple[int, ServiceClass]]) -> None:
-        """Use other classes, index and terms by name, from now on; called in a core's turn."""
+        """Replace the classes (name to index and settings); called in a turn of the core."""
         self.classes = classes
 
     def handle(self, exchange: Exchange) -> None:
-        """Take one request, on the thread of its connection; raise Bad for one that can't be taken."""
+        """Submit one request, on the thread of its connection; raise HttpError if it is invalid."""
         request = exchange.request
         if request.target == platform_headers.HEALTH_TARGET:
             if request.method not in ("GET", "HEAD"):
@@ -87,7 +87,7 @@
         return WRITE_PRIORITY if request.method == "PUT" else READ_PRIORITY
 
     def read(self, exchange: Exchange) -> ClientRequest:
-        """Return the request in the core's terms; raise Bad where a part of it is missing or wrong."""
+        """Return the request as a message of the core; raise HttpError if a part is missing or invalid."""
         request, headers = exchange.request, exchange.request.headers
         target = platform_headers.match_target(request.target)
         class_entry = self.classes.get(target["class_name"]) if target is not None else None
@@ -105,7 +105,7 @@
         group = platform_headers.parse_group(headers)
         key = platform_headers.parse_idempotency_key(headers)
         if not key and service_class.idempotency is Idempotency.KEYED:
-            # Without its key a second run of it could not be told from another request's.
+            # Without the key, a repeat could not be distinguished from a different request.
             raise platform_headers.missing_idempotency_key()
         return ClientRequest(
             wire_id=request_id,
@@ -127,6 +127,6 @@
 
 
 def check_method(method: str, service_class: ServiceClass) -> None:
-    """Raise Bad where a method is not the one of a class: PUT for one that writes, GET for the others."""
+    """Raise HttpError unless the method is that of the class: PUT for writes, GET for others."""
     if method != ("PUT" if service_class.is_write else "GET"):
         raise HttpError(405, "PUT is for a class that writes, GET for the others")
--- a/lupintack/fronts/platform_headers.py
+++ b/lupintack/fronts/platform_headers.py
@@ -1,4 +1,4 @@
-"""Header fields and target of the platform's requests; the one module that knows their names."""
+"""Parses header fields and targets of the platform's requests; only this module contains their names."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 _REQUEST_ID = re.compile(r"[0-9a-f]{16}")
 _ENTITY_TAG = re.compile(r'"([0-9A-Za-z_.-]{1,64})"')
-_IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.-]{1,64}")  # characters that a field of an attempt can hold
+_IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.-]{1,64}")  # characters that a field of an attempt may contain
 _SIZE_KB = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
@@ -31,12 +31,12 @@
 
 
 def has_request_id(headers: Mapping[str, str]) -> bool:
-    """Return whether the client named its request."""
+    """Return whether the request has an id."""
     return "req-id" in headers
 
 
 def parse_request_id(headers: Mapping[str, str], default: str = "") -> str:
-    """Return the request's id, or `default` where it has none; raise Bad where that is not 16 hex digits."""
+    """Return the request's id, or `default` without one; raise HttpError if it is not 16 hex digits."""
     request_id = headers.get("req-id", "") or default
     if not _REQUEST_ID.fullmatch(request_id):
         raise HttpError(400, "Req-Id: 16 hex digits are wanted")
@@ -44,7 +44,7 @@
 
 
 def missing_request_id() -> HttpError:
-    """Return the error for a request that must not run twice and has no id."""
+    """Return the error for a request without an id that must not run twice."""
     return HttpError(400, "Req-Id is wanted: without it a repeat of this request can't be told")
 
 
@@ -54,22 +54,22 @@
 
 
 def no_wait() -> HttpError:
-    """Return the error for a client that does not wait at all."""
+    """Return the error for a request with a wait of 0 ms."""
     return HttpError(400, "Req-Wait-Ms: nobody waits")
 
 
 def parse_part(text: str | None) -> int:
-    """Return the number of the part that a target names, 0 where it names none."""
+    """Return the number of the part in a target, 0 without one."""
     return parse_number(text or "0", PART_PARAMETER, MAX_PART)
 
 
 def parse_group(headers: Mapping[str, str]) -> int:
-    """Return the content group, 0 where the client names none."""
+    """Return the content group, 0 without one."""
     return parse_number(headers.get("x-batch", "0"), "X-Batch", MAX_GROUP)
 
 
 def parse_idempotency_key(headers: Mapping[str, str]) -> str:
-    """Return the client's idempotency key, empty where it sent none."""
+    """Return the client's idempotency key, empty without one."""
     key = headers.get("req-token", "")
     if key and not _IDEMPOTENCY_KEY.fullmatch(key):
         raise HttpError(400, "Req-Token: 1 to 64 letters, digits, `_`, `.` or `-` are wanted")
@@ -82,7 +82,7 @@
 
 
 def parse_size_kb(headers: Mapping[str, str]) -> float:
-    """Return the part's size in KB, 0 where the client does not say it."""
+    """Return the part's size in KB, 0 without one."""
     text = headers.get("req-kb", "")
     if text and not _SIZE_KB.fullmatch(text):
         raise HttpError(400, "Req-Kb: a size in KB is wanted, such as 412.5")
@@ -90,7 +90,7 @@
 
 
 def parse_cached_tag(headers: Mapping[str, str]) -> str:
-    """Return the entity tag of the client's own copy, empty for a tag that the router can't have given."""
+    """Return the entity tag of the client's own copy, empty for one that the router can't have sent."""
     match = _ENTITY_TAG.fullmatch(headers.get("if-none-match", ""))
     return match[1] if match is not None else ""
 
@@ -106,12 +106,12 @@
 
 
 def retry_after(wait_ms: int) -> list[tuple[str, object]]:
-    """Return the header fields that name the time after which a retry is welcome; none for 0 ms."""
+    """Return the header fields for the time to wait before a retry, none for 0 ms."""
     return [(RETRY_AFTER, wait_ms)] if wait_ms > 0 else []
 
 
 def parse_number(text: str, name: str, maximum: int) -> int:
-    """Return the whole number of a header field; raise Bad where it is none, or above `maximum`."""
+    """Return the integer of a header field; raise HttpError if it is invalid or above `maximum`."""
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS and int(text) <= maximum):
         raise HttpError(400, f"{name}: a whole number up to {maximum} is wanted")
     return int(text)
--- a/lupintack/http2/wire.py
+++ b/lupintack/http2/wire.py
@@ -64,9 +64,8 @@
         self.writer = FrameWriter(sock, self, spawn)
         self.window_closed = False  # the connection's own window
         self.ended = False  # nothing more is written
-        self.bytes_since_event = (
-            0  # bytes since the last event: of a frame, or of a header block, that goes on and on
-        )
+        # Bytes since the last event: of a frame, or of a header block, that goes on and on.
+        self.bytes_since_event = 0
         self.is_calling = False  # what has come is on its way to the role
         self.end_reason = ""
         self.ended_us = 0
