--- a/lupintack/http2/__init__.py
+++ b/lupintack/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 on blocking sockets for both roles, on the library `h2`. Nothing here knows of edge routers."""
+"""HTTP/2 on blocking sockets for clients and servers, on the library `h2`; independent of edge routers."""
--- a/lupintack/http2/frame_writer.py
+++ b/lupintack/http2/frame_writer.py
@@ -1,4 +1,4 @@
-"""Bytes of frames on their way to the kernel; what it does not take at once goes to a thread of its own."""
+"""Writes the bytes of frames to the kernel; a separate thread writes those that it does not accept now."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from lupintack.logs import fields
 
 LOG = logging.getLogger("http2")
-WRITE_TIMEOUT_MS = 10_000  # a peer whose kernel takes nothing for so long is cut off
+WRITE_TIMEOUT_MS = 10_000  # a peer that accepts no bytes for this long is disconnected
 
 
 class WriterOwner(Protocol):
-    """The connection that frames bytes."""
+    """The connection whose frames are written."""
 
     lock: threading.RLock
     ended: bool
 
     def pump(self, from_writer: bool = False) -> None:
-        """Frame more bytes, and flush them; under the lock."""
+        """Frame more bytes and flush them; under the lock."""
 
     def abort(self, reason: str) -> None:
         """End the connection now."""
 
     def end_writing(self) -> None:
-        """End this side: all that was framed is out."""
+        """Shut down writing, after all frames have been written."""
 
 
 class FrameWriter:
-    """Framed bytes of one connection; used under its lock."""
+    """Buffer for the framed bytes of one connection; used under its lock."""
 
     def __init__(
         self, sock: socket.socket, owner: WriterOwner, spawn: Callable[[Callable[[], None], str], None]
     ) -> None:
-        """`spawn`: runs a call on a thread of that name."""
+        """`spawn`: runs a call on a new thread with the given name."""
         self.sock = sock
         self.owner = owner
         self.spawn = spawn
         self.framed = bytearray()
         self.has_thread = False
-        self.is_closed = False  # the socket is of no more use
+        self.is_closed = False  # the socket must not be used any more
 
     def flush(self, from_writer: bool = False) -> bool:
-        """Write frames; return False where some are left, for the writer's thread."""
+        """Write frames; return False if some remain for the writer's thread."""
         if self.is_closed or (self.has_thread and not from_writer):
             return not self.framed
         if not self.framed or self._write_now():
@@ -57,12 +57,12 @@
             try:
                 self.spawn(self._write_remaining, "http2 writer")
             except RuntimeError as error:
-                LOG.error("no thread for a writer", extra=fields(reason=error))
+                LOG.error("can't start a writer thread", extra=fields(reason=error))
                 self.owner.abort("no thread")
         return False
 
     def _write_now(self) -> bool:
-        """Write what the kernel takes without waiting; return whether nothing is left."""
+        """Write as much as the kernel accepts without waiting; return whether all is written."""
         try:
             written = sockets.send_now(self.sock, self.framed)
         except OSError as error:
@@ -72,11 +72,11 @@
         return not self.framed
 
     def _write_remaining(self) -> None:
-        """Write a slow peer's bytes at its own pace; the thread ends when all that can be written is."""
+        """Write the bytes as fast as a slow peer accepts them; return when nothing can be written."""
         poll = select.poll()
         try:
             poll.register(self.sock, select.POLLOUT)
-        except (OSError, ValueError):  # closed in between
+        except (OSError, ValueError):  # closed before this thread started
             self.has_thread = False
             return
         while True:
--- a/lupintack/http2/schedule.py
+++ b/lupintack/http2/schedule.py
@@ -1,13 +1,14 @@
-"""Which stream writes next on a connection, and how much: deficit round robin that heeds RFC 9218. No I/O.
+"""Selects the next stream to write and the number of its bytes: deficit round robin with RFC 9218. No I/O.
 
-Streams stand in eight levels, by their urgency. A level may write its credit, which halves with each level
-below, and the most urgent level that has credit and something to write goes first; when none has credit left,
-all get theirs anew. An urgent stream so overtakes at its first byte, and still no level waits for good.
+Streams are grouped in eight levels by urgency. A level may write its credit, which halves with each less
+urgent level. The most urgent level with credit and something to write is served first; when none has credit
+left, the credit of all levels is renewed. So an urgent stream overtakes at its first byte, and no level
+starves.
 
-Within a level, streams take turns of `QUANTUM` bytes (Shreedhar and Varghese's deficit round robin: what a
-short write leaves of a turn is kept for the next). Streams whose client asked for them one after another
-(a priority field without `i`, RFC 9218 section 4.2) share one place in the ring, in the order of their ids.
-A stream that can't write for want of window leaves the ring until `allow` is called.
+Within a level, streams take turns of `QUANTUM` bytes (Shreedhar and Varghese's deficit round robin: the
+unused part of a turn is kept for the next). Streams whose client requests sequential delivery (a priority
+field without `i`, RFC 9218 section 4.2) share one place in the ring, in the order of their ids. A stream
+without window leaves the ring until `resume` is called.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 from dataclasses import dataclass, field
 
 LEVELS = 8
-QUANTUM = 16384  # one frame: a tile goes out whole
+QUANTUM = 16384  # one frame: a tile is written in one turn
 DEFAULT_URGENCY = 3  # RFC 9218, section 4.1
 URGENCY = re.compile(r"[0-7]")
 
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """How urgent a stream is (0 first), and whether it shares its turn with others."""
+    """Urgency of a stream (0 is most urgent), and whether it shares bandwidth with others of its level."""
 
     urgency: int = DEFAULT_URGENCY
     shared: bool = True
 
 
 def parse_priority(text: str, default: Priority) -> Priority:
-    """Return the priority of RFC 9218's field; a parameter that can't be read counts as absent.
+    """Return the priority in RFC 9218's field; an invalid parameter is ignored.
 
-    Where a client names none, its streams share their turns: section 4 leaves that to the server, and it is
-    fairer for bodies that are shown as they come.
+    Without a field, `default` applies. Streams share their turns by default: section 4 leaves that to the
+    server, and it is fairer for bodies that are displayed as they arrive.
     """
     if not text.strip():
         return default
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """One stream's bytes that wait."""
+    """Unwritten bytes of one stream."""
 
     stream: int
     priority: Priority
@@ -62,20 +63,20 @@
 
 @dataclass(slots=True)
 class Level:
-    """Streams of one urgency: those that share, in a ring, and those that go one after another."""
+    """Streams of one urgency: those that share bandwidth in a ring, sequential ones in a queue."""
 
-    ring: deque[Flow | None] = field(default_factory=deque)  # None: the turn of `queue`
+    ring: deque[Flow | None] = field(default_factory=deque)  # None: the place of `queue`
     queue: list[Flow] = field(default_factory=list)
     credit: int = 0
-    deficit: int = 0  # of the queue's turn
-    turn_not_started: bool = True  # the one at the front has not begun its turn
+    deficit: int = 0  # of the queue
+    turn_not_started: bool = True  # of the first in the ring
 
 
 class Schedule:
-    """The streams of one connection that have bytes to write."""
+    """Streams of one connection that have bytes to write."""
 
     def __init__(self, quantum: int = QUANTUM) -> None:
-        """`quantum`: bytes of a stream's turn."""
+        """`quantum`: bytes per turn of a stream."""
         self.quantum = quantum
         self.flows: dict[int, Flow] = {}
         self.levels = [Level() for _ in range(LEVELS)]
@@ -83,19 +84,19 @@
             level.credit = self._credit(urgency)
 
     def __len__(self) -> int:
-        """Return how many streams have bytes to write."""
+        """Return the number of streams that have bytes to write."""
         return len(self.flows)
 
     def _credit(self, urgency: int) -> int:
         return self.quantum << (LEVELS - 1 - urgency)
 
     def unwritten_bytes(self, stream: int) -> int:
-        """Return how many of its bytes a stream still has to write."""
+        """Return the number of unwritten bytes of a stream."""
         flow = self.flows.get(stream)
         return flow.unwritten_bytes if flow is not None else 0
 
     def add(self, stream: int, size: int, priority: Priority = Priority()) -> None:  # noqa: B008 - it is frozen
-        """Add bytes to write, to a stream that is known or a new one."""
+        """Add bytes to a stream; a new stream is added with its priority."""
         flow = self.flows.get(stream)
         if flow is not None:
             flow.unwritten_bytes += size
@@ -105,7 +106,7 @@
             self._enqueue(flow)
 
     def drop(self, stream: int) -> int:
-        """Forget a stream; return how many bytes it had left."""
+        """Remove a stream; return the number of its unwritten bytes."""
         flow = self.flows.pop(stream, None)
         if flow is None:
             return 0
@@ -114,7 +115,7 @@
         return flow.unwritten_bytes
 
     def resume(self, stream: int) -> bool:
-        """Note that a stream has window again; return whether it had none."""
+        """Schedule a stream that has window again; return whether it had none."""
         flow = self.flows.get(stream)
         if flow is None or flow.ready:
             return False
@@ -123,14 +124,14 @@
         return True
 
     def resume_all(self) -> list[int]:
-        """Note that all streams may have window again; return those that had none."""
+        """Schedule all streams, as they may have window again; return those that had none."""
         return [stream for stream in list(self.flows) if self.resume(stream)]
 
     def take(self, max_bytes: int, window: Callable[[int], int]) -> tuple[int, int] | None:
-        """Return the next stream and how many of its bytes it writes now; None where none can.
+        """Return the next stream and the number of bytes it writes now; None if no stream can write.
 
-        At most `max_bytes`. `window` returns what a stream may write; one that may write nothing waits for
-        `allow`.
+        The number is at most `max_bytes`. `window` returns the window of a stream; a stream without window
+        waits for `resume`.
         """
         if max_bytes <= 0:
             return None
@@ -167,7 +168,7 @@
             return flow.stream, count
 
     def _select_level(self) -> Level | None:
-        """The most urgent level with something to write and credit; all get credit where none has."""
+        """Return the most urgent level with bytes and credit; renew all credit if no such level has any."""
         first = None
         for level in self.levels:
             if level.ring:
@@ -213,7 +214,7 @@
 
 
 class Fifo(Schedule):
-    """The baseline of the measurements: streams in the order in which they came, each to its end."""
+    """Baseline for benchmarks: writes streams in the order of arrival, each to its end."""
 
     def take(self, max_bytes: int, window: Callable[[int], int]) -> tuple[int, int] | None:
         """Return the first stream that can write, and how many bytes."""
@@ -227,7 +228,7 @@
         return None
 
     def _enqueue(self, flow: Flow) -> None:
-        """There are no turns."""
+        """Do nothing: there are no turns."""
 
     def _dequeue(self, flow: Flow) -> None:
-        """There are no turns."""
+        """Do nothing: there are no turns."""
--- a/lupintack/http2/session.py
+++ b/lupintack/http2/session.py
@@ -1,13 +1,13 @@
-"""The state machine of one HTTP/2 connection: the library `h2`, changed where it ends more than it must.
+"""State machine of one HTTP/2 connection: the library `h2`, changed where it ends connections needlessly.
 
-Four places of its inside are overridden, all of them named here; tests/test_http2_wire.py fails if a release
-of the library no longer has them (requirements.txt pins it).
+Four internals of the library are overridden, all listed here; tests/test_http2_limits.py fails if a release
+of the library no longer has them (requirements.txt pins the version).
 
-- GOAWAY: h2 takes one for the end of everything, in both directions. RFC 9113, section 6.8, wants streams
-  below its last id to go on, and a server to send two.
-- content-length: h2 ends the connection where a body doesn't fit; section 8.1.1 makes it the stream's error.
-- more streams than were offered: h2 ends the connection; section 5.1.2 allows REFUSED_STREAM for each.
-- how many ended streams are remembered: 65,536 are some megabytes a connection.
+- GOAWAY: h2 treats it as the end of the connection in both directions. RFC 9113, section 6.8, requires that
+  streams up to its last id continue, and lets a server send two.
+- content-length: h2 ends the connection if a body does not match it; by section 8.1.1 it is a stream error.
+- too many concurrent streams: h2 ends the connection; section 5.1.2 allows REFUSED_STREAM for each.
+- number of closed streams that are remembered: the default of 65,536 takes some megabytes per connection.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from hyperframe.frame import Frame, GoAwayFrame
 
 HIGHEST_STREAM_ID = 2**31 - 1
-STREAMS_PER_CLEANUP = 64  # new streams between two looks for those that are over
+STREAMS_PER_CLEANUP = 64  # new streams between two removals of closed ones
 
 
 class SilentLogger(DummyLogger):
-    """h2 and hpack format log lines for each frame, even when nobody reads them."""
+    """Drops log lines: h2 and hpack format them for each frame, even if logging is off."""
 
     def __init__(self) -> None:
-        """Log nowhere."""
+        """Create a logger without output."""
 
     def debug(self, *args: object, **kwargs: object) -> None:
         """Drop a line."""
@@ -42,30 +42,30 @@
 
 
 class UncompressedEncoder(Encoder):
-    """Encodes without Huffman's code, which costs more than it saves on short values that differ."""
+    """Encodes without Huffman coding, which costs more than it saves on short values that differ."""
 
     def encode(self, headers: Any, huffman: bool = False) -> bytes:
-        """Encode fields without Huffman's code."""
+        """Encode fields without Huffman coding."""
         return super().encode(headers, huffman=False)
 
 
 SILENT_LOGGER = SilentLogger()
-# hpack words 26 lines a request for its own log; with nobody to read them, a twentieth of the front's time.
+# hpack formats 26 log lines per request; unread, they took a twentieth of the front's time.
 hpack.hpack.log = hpack.table.log = SILENT_LOGGER  # type: ignore[assignment]
 
 
 def _skip_length_check(headers: object) -> None:
-    """The fronts compare lengths themselves."""
+    """Do nothing: the fronts compare lengths themselves."""
 
 
 class Session(H2Connection):
-    """One connection's state; bytes in, events out, nothing of sockets."""
+    """State of one connection: converts bytes to events, without sockets."""
 
     MAX_CLOSED_STREAMS = 1024
 
     def __init__(self, client: bool, streams: int, header_list: int, stream_window: int) -> None:
-        """`streams` and `header_list` bound what the peer may open and send; windows are in bytes."""
-        # The fronts check fields more strictly, and answer for a stream where h2 would end the connection.
+        """`streams`, `header_list`: bounds on the peer's streams and on its fields; sizes are in bytes."""
+        # The fronts check fields more strictly, and end only the stream where h2 would end the connection.
         config = H2Configuration(
             client_side=client,
             header_encoding=None,
@@ -91,11 +91,10 @@
 
     @property
     def open_inbound_streams(self) -> int:
-        """Return 0, so that h2 never ends the connection: the front counts streams, and refuses one by one.
+        """Return 0, so that h2 never ends the connection: the front counts streams and refuses single ones.
 
-        Guards a client that opens more before it has read this side's SETTINGS. h2 goes through all open
-        streams for each new one, and forgets those that are over; once in STREAMS_PER_CLEANUP is enough for
-        that.
+        A client may open more streams than allowed before it has read this side's SETTINGS. h2 iterates over
+        all streams for each new one and removes closed ones; doing so once in STREAMS_PER_CLEANUP is enough.
         """
         self.streams_since_cleanup += 1
         if self.streams_since_cleanup >= STREAMS_PER_CLEANUP:
@@ -104,7 +103,7 @@
         return 0
 
     def goaway(self, last: int, code: ErrorCodes, text: bytes = b"") -> None:
-        """Send a GOAWAY after which streams up to `last` go on."""
+        """Send a GOAWAY after which streams up to `last` continue."""
         self._prepare_for_sending([GoAwayFrame(0, last, int(code), text)])
 
     def _begin_new_stream(self, stream_id: int, allowed_ids: Any) -> Any:
--- a/lupintack/http2/wire.py
+++ b/lupintack/http2/wire.py
@@ -1,12 +1,12 @@
-"""One HTTP/2 connection on a blocking socket, in either role; independent of what requests mean.
+"""One HTTP/2 connection on a blocking socket, of a client or a server; independent of what requests mean.
 
-One thread reads. Any thread writes: under the connection's lock, as far as the kernel takes it at once. What
-is left goes to a thread of its own, so that no caller waits for a slow peer. Bodies wait in the schedule,
-not in frames: about FRAMED_BYTES of frames wait for the kernel, and an urgent stream overtakes at the next
-frame.
+One thread reads. Any thread writes under the connection's lock, as much as the kernel accepts without
+waiting. A separate thread writes the rest, so that no caller waits for a slow peer. Bodies wait in the
+schedule, not in frames: only about FRAMED_BYTES of frames wait for the kernel, so an urgent stream overtakes
+at the next frame.
 
-The peer's events reach a `Role` on the reader's thread without the lock; its methods for bytes and windows
-are called under it, and must neither block nor call back.
+A `Role` handles the peer's events on the reader's thread, without the lock; its methods for bytes and windows
+are called under the lock, and must neither block nor call the connection.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 
 LOG = logging.getLogger("http2")
 READ_BYTES = 16384
-FRAMED_BYTES = 32768  # bytes of frames that stand before the kernel
-MAX_FRAMED_BYTES = 262_144  # answers to control frames that a peer does not read
+FRAMED_BYTES = 32768  # bytes of frames that may wait for the kernel before a flush
+MAX_FRAMED_BYTES = 262_144  # bound for answers to control frames that a peer does not read
 MAX_FRAME_BYTES = 16384  # of a body, at most
-MAX_UNSENT_BYTES = 32768  # bytes that the kernel holds and has not sent: what is urgent can't overtake these
-LINGER_TIMEOUT_S = 1.5  # after our end the rest is read: a reset might take the last frames from the peer
+MAX_UNSENT_BYTES = 32768  # unsent bytes in the kernel, which an urgent stream can't overtake
+LINGER_TIMEOUT_S = 1.5  # time to read on after shutting down: a reset could lose the last frames
 PING_DATA = b"lupintck"
 
 
 class Wire:
-    """One connection."""
+    """One HTTP/2 connection."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         role: Role,
         spawn: Callable[[Callable[[], None], str], None],
     ) -> None:
-        """Take a connected socket; `run` serves it. `spawn`: runs a call on a thread of that name."""
+        """Use a connected socket; `run` serves it. `spawn`: runs a call on a thread of that name."""
         self.sock = sock
         self.config = config
         self.role = role
@@ -62,22 +62,21 @@
         self.schedule: Schedule = Fifo() if config.fifo else Schedule()
         self.bodies: dict[int, memoryview] = {}
         self.writer = FrameWriter(sock, self, spawn)
-        self.window_closed = False  # the connection's own window
+        self.window_closed = False  # the connection has no window
         self.ended = False  # nothing more is written
-        # Bytes since the last event: of a frame, or of a header block, that goes on and on.
-        self.bytes_since_event = 0
-        self.is_calling = False  # what has come is on its way to the role
+        self.bytes_since_event = 0  # bounds an endless frame or header block
+        self.is_calling = False  # methods of the role are being called for received events
         self.end_reason = ""
         self.ended_us = 0
         self.reads = DatedReads(sock)
-        self.received_us = now_us()  # when the bytes that are read now arrived, at the earliest
+        self.received_us = now_us()  # earliest time at which the bytes being handled arrived
         sockets.set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sockets.set_option(sock, socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_UNSENT_BYTES)
 
     # Reading
 
     def run(self) -> None:
-        """Serve the connection until it ends; the whole life of its thread."""
+        """Serve the connection until it ends; the main function of its thread."""
         try:
             with self.lock:
                 self.session.initiate_connection()
@@ -90,7 +89,7 @@
                 try:
                     data = sockets.read(self.sock, READ_BYTES)
                 except BlockingIOError:
-                    continue  # a limit inherited from the listener that could not be lifted
+                    continue  # a timeout inherited from the listener that could not be removed
                 if not data:
                     self.end_reason = self.end_reason or "closed"
                     break
@@ -100,7 +99,7 @@
                 self._linger()
         except OSError as error:
             self.end_reason = self.end_reason or f"broken: {error.strerror or error}"
-        except Exception:  # a fault of ours must not show as a silent drop
+        except Exception:  # an internal error is logged, and ends the connection
             LOG.exception("connection failed")
             self.end_reason = "fault"
         finally:
@@ -113,7 +112,7 @@
             self.role.on_closed(self.end_reason)
 
     def receive(self, data: bytes) -> None:
-        """Handle received bytes: change the state under the lock, then call the role without it."""
+        """Handle received bytes: update the state under the lock, then call the role without it."""
         calls: list[Callable[[], None]] = []
         with self.lock:
             if self.ended:
@@ -121,7 +120,7 @@
             try:
                 events = self.session.receive_data(data)
             except ProtocolError as error:
-                # h2 has worded the GOAWAY; what came before in these bytes is dropped with it, unheard.
+                # h2 has queued a GOAWAY; events of earlier frames in these bytes are lost.
                 self._finish(f"protocol: {type(error).__name__}: {error}")
                 return
             except (H2Error, ValueError, KeyError, IndexError) as error:
@@ -147,9 +146,9 @@
             self.is_calling = False
 
     def streams_reset_by_peer(self, events: Sequence[e.Event]) -> set[int]:
-        """Return the streams that a client has reset: their complete requests would be served for nobody.
+        """Return the streams that a client has reset, so that their complete requests are not served.
 
-        A client takes an answer all the same: a server may reset what it has answered (RFC 9113, 8.1).
+        Return none for a client: a server may reset a stream that it has answered (RFC 9113, 8.1).
         """
         if self.config.is_client:
             return set()
@@ -158,7 +157,7 @@
         }
 
     def on_event(self, event: e.Event, calls: list[Callable[[], None]]) -> bool:
-        """Handle one event, and add the call of the role; return False where the peer costs too much."""
+        """Handle one event, and add the call of the role; return False if the peer exceeds a frame budget."""
         role = self.role
         call = role_call(role, event)
         if call is not None:
@@ -181,7 +180,7 @@
         return True
 
     def on_data_received(self, event: e.DataReceived, calls: list[Callable[[], None]]) -> bool:
-        """Return the window of a part of a body; return False where the peer sends too many empty ones."""
+        """Return the window of a part of a body; return False if the peer sends too many empty ones."""
         role, stream, data = self.role, event.stream_id, event.data
         self.return_window(stream, event.flow_controlled_length)
         if data:
@@ -191,7 +190,7 @@
         return True
 
     def on_window_updated(self, stream: int) -> bool:
-        """Let a stream, or the connection (0), write again; return False where the peer sends too many."""
+        """Let a stream, or the connection (0), write again; return False if updates are too many."""
         if stream == 0:
             self.on_connection_window()
         elif self.schedule.resume(stream):
@@ -199,13 +198,13 @@
         return self.role.on_cost("window")
 
     def return_window(self, stream: int, count: int) -> None:
-        """Return the window of received bytes; the role bounds what it keeps."""
+        """Return the window of received bytes; the role bounds the bytes that it stores."""
         if count:
             with contextlib.suppress(StreamClosedError):
                 self.session.acknowledge_received_data(count, stream)
 
     def on_connection_window(self) -> None:
-        """Note that the connection itself has window again."""
+        """Record that the connection itself has window again."""
         if self.window_closed:
             self.window_closed = False
             self.role.on_window_opened(0)
@@ -215,9 +214,9 @@
     def open(
         self, headers: Sequence[Header], body: bytes, priority: Priority, on_opened: Callable[[int], None]
     ) -> int:
-        """Open a client's next stream; return its number, 0 where none can be opened.
+        """Open a client's next stream; return its id, 0 if none can be opened.
 
-        `on_opened` is called with the number before a byte is written.
+        `on_opened` is called with the id before a byte is written.
         """
         with self.lock:
             if self.ended:
@@ -235,7 +234,7 @@
     def send(
         self, stream: int, headers: Sequence[Header], body: bytes | bytearray | memoryview, priority: Priority
     ) -> bool:
-        """Send fields and a whole body; return False where the stream, or the connection, is over."""
+        """Send fields and a whole body; return False if the stream or the connection has ended."""
         with self.lock:
             if self.ended:
                 return False
@@ -272,7 +271,7 @@
             self.pump()
 
     def go_away(self, last: bool, code: ErrorCodes = ErrorCodes.NO_ERROR) -> None:
-        """Send a GOAWAY: the first with the highest id and a PING, the last with what was received."""
+        """Send a GOAWAY: the first with the highest id and a PING, the last with the last received id."""
         with self.lock:
             if not self.ended:
                 self.session.goaway(
@@ -291,7 +290,7 @@
                 self._finish(f"calm: {text}")
 
     def finish(self, reason: str) -> None:
-        """End the connection once the frames are written."""
+        """End the connection after the framed bytes are written."""
         with self.lock:
             if not self.ended:
                 self._finish(reason)
@@ -305,11 +304,11 @@
                 self.sock.shutdown(socket.SHUT_RDWR)
 
     def is_lingering(self) -> bool:
-        """Return whether this side has ended and the peer has not: a close could reset what it reads."""
+        """Return whether only this side has shut down; a close could lose frames not read by the peer."""
         return self.ended and not self.writer.is_closed
 
     def unwritten_bytes(self) -> int:
-        """Return how many bytes wait here, framed or not."""
+        """Return the number of unwritten bytes, framed or not."""
         with self.lock:
             body_bytes = sum(self.schedule.unwritten_bytes(stream) for stream in self.bodies)
             return 0 if self.writer.is_closed else len(self.writer.framed) + body_bytes
@@ -325,15 +324,15 @@
             self.end_writing()
 
     def end_writing(self) -> None:
-        """End this side; the reader sees the peer's end, or waits for it."""
+        """Shut down writing; the reader then waits for the peer's end."""
         self.ended_us = now_us()
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def tick(self, now: int) -> None:
-        """End a connection whose peer neither reads on nor closes after this side's end.
+        """Abort a connection whose peer has not closed within LINGER_TIMEOUT_S of this side's shutdown.
 
-        Its read would wait for good.
+        Otherwise the reader would wait forever.
         """
         with self.lock:
             if self.ended_us and not self.writer.is_closed and now - self.ended_us > LINGER_TIMEOUT_S * 1e6:
@@ -354,7 +353,7 @@
         self.bodies.pop(stream, None)
 
     def _window(self, stream: int) -> int:
-        """Return how much a stream may write; the schedule sets it aside where that is nothing."""
+        """Return the window of a stream; the schedule suspends a stream without window."""
         try:
             window = self.session.local_flow_control_window(stream)
         except H2Error:
@@ -364,7 +363,7 @@
         return window
 
     def pump(self, from_writer: bool = False) -> None:
-        """Frame bytes of the schedule, and flush frames to the kernel, as long as it takes them."""
+        """Frame bytes of the schedule and flush them, as long as the kernel accepts them."""
         session = self.session
         self.writer.framed += session.data_to_send()
         if len(self.writer.framed) > MAX_FRAMED_BYTES:
@@ -389,7 +388,7 @@
             is_complete = count == len(view)
             try:
                 session.send_data(stream, view[:count], end_stream=is_complete)
-            except H2Error:  # reset, and its event has not come to us yet
+            except H2Error:  # reset, and the event is not handled yet
                 self._forget(stream)
                 continue
             if is_complete:
