--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -1,4 +1,4 @@
-"""HTTP/2 to clients: what is served, what is refused, and what a client can't do to the others."""
+"""Tests of HTTP/2 towards clients: requests, refusals, floods, windows, and the end of connections."""
 
 from __future__ import annotations
 
@@ -34,45 +34,45 @@
 CALM, REFUSED, PROTOCOL, NO_ERROR = 11, 7, 1, 0
 
 
-def slow(name_delay: dict[str, float]) -> Terms:
-    """Stand-ins that take their time for a class."""
-    return Terms(delay_s=lambda name, cls: name_delay.get(cls, 0.0))
+def delayed(delay_s: dict[str, float]) -> Terms:
+    """Return terms under which the stand-ins delay the answers of some classes."""
+    return Terms(delay_s=lambda name, cls: delay_s.get(cls, 0.0))
 
 
-# What is served
+# Requests and answers
 
 
-class LateReads:
-    """Reads of connections that were made to an address come late, as of a process kept from running."""
+class DelayedReads:
+    """Delays reads of connections to an address, as in a process that gets no CPU time."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.late_s: dict[tuple[str, int], float] = {}
+        self.delay_by_address: dict[tuple[str, int], float] = {}
         self.read = sockets.read
         monkeypatch.setattr(sockets, "read", self.read_late)
 
     def read_late(self, sock: socket.socket, size: int) -> bytes:
         select.select([sock], [], [])
-        time.sleep(self.late_s.get(sock.getsockname(), 0.0))
+        time.sleep(self.delay_by_address.get(sock.getsockname(), 0.0))
         return self.read(sock, size)
 
 
-def test_a_stream_whose_client_has_closed_before_it_was_read_gets_no_attempt(
+def test_request_read_after_its_client_closed_the_connection_gets_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of the connection is read after the requests before it, which were sent on meanwhile."""
-    late = LateReads(monkeypatch)
-    with site() as play:
-        app = play.app()
+    """The connection's end is read after its requests, which used to be sent to members before that."""
+    reads = DelayedReads(monkeypatch)
+    with site() as testbed:
+        app = testbed.app()
         assert app.answer(app.ask("GET", TILE)).status == 200
-        late.late_s[play.http2] = 0.3
+        reads.delay_by_address[testbed.http2] = 0.3
         app.ask("GET", VIDEO)
         app.sock.close()
-        eventually(lambda: play.count("received.river-video") == 1 and not play.front.connections)
-        assert play.asked("river-video") == 0
+        eventually(lambda: testbed.count("received.river-video") == 1 and not testbed.front.connections)
+        assert testbed.asked("river-video") == 0
 
 
-def test_a_stream_that_is_reset_before_it_was_read_gets_no_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Request and reset were read at once, and the request was sent on before the reset was looked at."""
+def test_stream_reset_before_it_is_read_gets_no_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request and its reset were read together, and the request was sent before the reset was handled."""
     reset = http2_connection.Http2Connection.on_reset
 
     def slow_reset(conn: http2_connection.Http2Connection, stream: int, code: int) -> None:
@@ -80,31 +80,31 @@
         reset(conn, stream, code)
 
     monkeypatch.setattr(http2_connection.Http2Connection, "on_reset", slow_reset)
-    late = LateReads(monkeypatch)
-    with site() as play:
-        app = play.app()
+    reads = DelayedReads(monkeypatch)
+    with site() as testbed:
+        app = testbed.app()
         assert app.answer(app.ask("GET", TILE)).status == 200
-        late.late_s[play.http2] = 0.1
+        reads.delay_by_address[testbed.http2] = 0.1
         app.reset(app.ask("GET", VIDEO))
         app.reset(app.ask("PUT", ACK, b"seen"))
-        eventually(lambda: play.count("http2.reset") == 2)
-        assert play.asked("river-video") == 0 and play.asked("alert-ack") == 0
-        eventually(lambda: play.front.stream_table.open == 0 and play.front.stream_table.bytes == 0)
-        late.late_s.clear()
-        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection goes on"
+        eventually(lambda: testbed.count("http2.reset") == 2)
+        assert testbed.asked("river-video") == 0 and testbed.asked("alert-ack") == 0
+        eventually(lambda: testbed.front.stream_table.open == 0 and testbed.front.stream_table.bytes == 0)
+        reads.delay_by_address.clear()
+        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection stays open"
 
 
-def test_a_stream_that_is_read_late_passes_on_no_more_than_its_client_has_left(
+def test_attempt_limit_of_a_late_read_stream_is_the_remaining_client_wait(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of a request counted from its read: a process kept from running passed on too much."""
-    late = LateReads(monkeypatch)
-    with site() as play:
+    """A request's wait was counted from its read, so a process without CPU time gave attempts too much."""
+    reads = DelayedReads(monkeypatch)
+    with site() as testbed:
         limits: dict[str, int] = {}
-        play.fleet.on_call = lambda call: limits.update({call.wire_id: int(call.fields["limit"])})
-        app = play.app()
+        testbed.fleet.on_call = lambda call: limits.update({call.wire_id: int(call.fields["limit"])})
+        app = testbed.app()
         assert app.answer(app.ask("GET", TILE)).status == 200
-        late.late_s[play.http2] = 0.4
+        reads.delay_by_address[testbed.http2] = 0.4
         for stream in (
             app.ask("GET", VIDEO, req_id="00000000000000a1", req_wait_ms="1200"),
             app.ask("PUT", ACK, b"seen", req_id="00000000000000a2", req_wait_ms="1200"),
@@ -113,22 +113,22 @@
         assert max(limits["00000000000000a1"], limits["00000000000000a2"]) <= 1200 - 400 + 150
 
 
-def test_streams_are_served_as_http1_requests_are() -> None:
-    with site() as play:
-        app = play.app()
+def test_streams_are_served_like_http1_requests() -> None:
+    with site() as testbed:
+        app = testbed.app()
         streams = [app.ask("GET", f"{TILE}?nth={n}", x_batch="17") for n in range(30)]
         video, ack = app.ask("GET", VIDEO), app.ask("PUT", ACK, b"seen")
         for n, stream in enumerate(streams):
-            got = app.answer(stream)
-            assert got.status == 200 and got.body == content("00000000000000aa", str(n), 12_000)
-            assert got.headers["content-length"] == "12000"
+            response = app.answer(stream)
+            assert response.status == 200 and response.body == content("00000000000000aa", str(n), 12_000)
+            assert response.headers["content-length"] == "12000"
         assert app.answer(video).body == content("00000000000000bb", "0", 120_000)
-        assert app.answer(ack).status == 200 and play.fleet.ran == {"00000000000000ac": 1}
+        assert app.answer(ack).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
         tag = app.streams[streams[0]].headers["etag"]
-        again = app.answer(app.ask("GET", f"{TILE}?nth=0", if_none_match=tag))
-        assert again.status == 304 and again.body == b""
+        revalidated = app.answer(app.ask("GET", f"{TILE}?nth=0", if_none_match=tag))
+        assert revalidated.status == 304 and revalidated.body == b""
         assert app.answer(app.ask("HEAD", "/alive")).status == 200
-        eventually(lambda: play.front.stream_table.open == 0 and play.front.stream_table.bytes == 0)
+        eventually(lambda: testbed.front.stream_table.open == 0 and testbed.front.stream_table.bytes == 0)
 
 
 @pytest.mark.parametrize(
@@ -143,89 +143,89 @@
         ({"x-batch": "256"}, 400),
     ],
 )
-def test_bad_requests_get_an_error_in_words(change: dict[str, str], status: int) -> None:
-    with site() as play:
-        app = play.app()
-        told = {k.decode(): v.decode() for k, v in app.fields("GET", TILE)} | change
-        got = app.answer(app.ask_with([(k.encode(), v.encode()) for k, v in told.items() if v]))
-        assert got.status == status and got.body.endswith(b"\n")
-        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection goes on"
+def test_invalid_request_gets_an_error_status_and_text(change: dict[str, str], status: int) -> None:
+    with site() as testbed:
+        app = testbed.app()
+        fields = {k.decode(): v.decode() for k, v in app.fields("GET", TILE)} | change
+        response = app.answer(app.ask_with([(k.encode(), v.encode()) for k, v in fields.items() if v]))
+        assert response.status == status and response.body.endswith(b"\n")
+        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection stays open"
 
 
 MALFORMED: list[Callable[[list[tuple[bytes, bytes]]], list[tuple[bytes, bytes]]]] = [
-    lambda told: [*told, (b"Upper", b"case")],
-    lambda told: [*told, (b"connection", b"close")],
-    lambda told: [*told, (b"transfer-encoding", b"chunked")],
-    lambda told: [*told, (b"te", b"gzip")],
-    lambda told: [*told, (b":late", b"x")],
-    lambda told: [*told, (b":path", b"/late")],
-    lambda told: [(b":method", b"GET"), *told],
-    lambda told: [one for one in told if one[0] != b":path"],
-    lambda told: [one for one in told if one[0] != b":scheme"],
-    lambda told: [one for one in told if one[0] != b":method"],
-    lambda told: [(b":path", b"") if one[0] == b":path" else one for one in told],
-    lambda told: [*told, (b"host", b"other")],
-    lambda told: [*told, (b"content-length", b"1"), (b"content-length", b"2")],
-    lambda told: [*told, (b"content-length", b"-1")],
-    lambda told: [*told, (b"x", b" led by space")],
-    lambda told: [*told, (b"x", b"a\r\nb: c")],
-    lambda told: [*told, (b"x y", b"z")],
+    lambda fields: [*fields, (b"Upper", b"case")],
+    lambda fields: [*fields, (b"connection", b"close")],
+    lambda fields: [*fields, (b"transfer-encoding", b"chunked")],
+    lambda fields: [*fields, (b"te", b"gzip")],
+    lambda fields: [*fields, (b":late", b"x")],
+    lambda fields: [*fields, (b":path", b"/late")],
+    lambda fields: [(b":method", b"GET"), *fields],
+    lambda fields: [field for field in fields if field[0] != b":path"],
+    lambda fields: [field for field in fields if field[0] != b":scheme"],
+    lambda fields: [field for field in fields if field[0] != b":method"],
+    lambda fields: [(b":path", b"") if field[0] == b":path" else field for field in fields],
+    lambda fields: [*fields, (b"host", b"other")],
+    lambda fields: [*fields, (b"content-length", b"1"), (b"content-length", b"2")],
+    lambda fields: [*fields, (b"content-length", b"-1")],
+    lambda fields: [*fields, (b"x", b" led by space")],
+    lambda fields: [*fields, (b"x", b"a\r\nb: c")],
+    lambda fields: [*fields, (b"x y", b"z")],
 ]
 
 
-def test_malformed_requests_end_their_stream_alone() -> None:
-    with site() as play:
-        app = play.app()
+def test_malformed_request_resets_only_its_stream() -> None:
+    with site() as testbed:
+        app = testbed.app()
         for number, change in enumerate(MALFORMED):
-            got = app.answer(app.ask_with(change(app.fields("GET", TILE))))
-            assert got.reset == PROTOCOL, number
+            response = app.answer(app.ask_with(change(app.fields("GET", TILE))))
+            assert response.reset == PROTOCOL, number
         assert app.answer(app.ask("GET", TILE)).status == 200
-        assert play.count("http2.malformed") == len(MALFORMED) and play.asked("map-tiles") <= 3
+        assert testbed.count("http2.malformed") == len(MALFORMED) and testbed.asked("map-tiles") <= 3
 
 
-def test_a_doubled_id_is_no_id() -> None:
-    with site() as play:
-        app = play.app()
-        told = [*app.fields("GET", TILE), (b"req-id", b"0123456789abcdef")]
-        assert app.answer(app.ask_with(told)).status == 400
+def test_repeated_request_id_is_rejected() -> None:
+    with site() as testbed:
+        app = testbed.app()
+        fields = [*app.fields("GET", TILE), (b"req-id", b"0123456789abcdef")]
+        assert app.answer(app.ask_with(fields)).status == 400
 
 
-def test_bodies_that_do_not_fit_their_length() -> None:
-    with site() as play:
-        app = play.app()
+def test_body_that_differs_from_its_content_length_resets_the_stream() -> None:
+    with site() as testbed:
+        app = testbed.app()
         long = app.ask("PUT", ACK, b"12345", content_length="4")
         short = app.ask("PUT", ACK, b"12345", content_length="6")
         none = app.ask("PUT", ACK, content_length="6")
-        assert [app.answer(one).reset for one in (long, short, none)] == [PROTOCOL] * 3
+        assert [app.answer(stream).reset for stream in (long, short, none)] == [PROTOCOL] * 3
         right = app.ask("PUT", ACK, b"12345", content_length="5")
-        assert app.answer(right).status == 200 and play.fleet.ran["00000000000000ac"] == 1
+        assert app.answer(right).status == 200 and testbed.fleet.ran["00000000000000ac"] == 1
 
 
-def test_bodies_over_the_bound_and_where_none_belongs() -> None:
-    with site() as play:
-        app = play.app()
+def test_too_long_or_unexpected_body_is_rejected() -> None:
+    with site() as testbed:
+        app = testbed.app()
         assert app.answer(app.ask("PUT", ACK, b"x" * 48_000)).status == 200
         assert app.answer(app.ask("PUT", ACK, b"x" * 48_001)).status == 413
         assert app.answer(app.ask("PUT", ACK, b"x", content_length="48001")).status == 413
         assert app.answer(app.ask("GET", TILE, b"x")).status == 400
-        assert play.fleet.ran["00000000000000ac"] == 1
-        eventually(lambda: play.front.stream_table.open == 0)
+        assert testbed.fleet.ran["00000000000000ac"] == 1
+        eventually(lambda: testbed.front.stream_table.open == 0)
 
 
-def test_a_stream_that_is_answered_early_is_ended_and_forgotten() -> None:
-    with site() as play:
-        app = opened(play)
-        (conn,) = play.front.connections.values()
+def test_stream_answered_before_its_body_is_closed_and_released() -> None:
+    with site() as testbed:
+        app = connected_app(testbed)
+        (conn,) = testbed.front.connections.values()
         early = [app.ask("PUT", ACK, b"x", end=False, content_length="48001") for _ in range(5)]
-        assert {app.answer(one).status for one in early} == {413}
-        eventually(lambda: all(conn.wire.session.streams[one].closed for one in early))
-        assert not conn.half_open and play.front.stream_table.open == 0
+        assert {app.answer(stream).status for stream in early} == {413}
+        eventually(lambda: all(conn.wire.session.streams[stream].closed for stream in early))
+        assert not conn.half_open and testbed.front.stream_table.open == 0
         assert app.answer(app.ask("GET", TILE)).status == 200
 
 
-def test_trailers_are_dropped_and_those_of_pseudo_fields_end_the_stream() -> None:
-    with site() as play:
-        app = play.app()
+def test_trailers_are_ignored_and_pseudo_field_trailers_reset_the_stream() -> None:
+    with site() as testbed:
+        app = testbed.app()
         ends = []
         for trailer in ((b"x-sum", b"1"), (b":path", b"/")):
             stream = app.ask("PUT", ACK, b"seen", end=False)
@@ -235,23 +235,23 @@
         assert ends[0].status == 200 and ends[1].reset == PROTOCOL
 
 
-def test_data_after_the_end_is_an_error_and_changes_no_answer() -> None:
-    with site(slow({"alert-ack": 0.2})) as play:
-        app = play.app()
+def test_data_after_the_end_of_a_request_is_an_error_and_runs_nothing_twice() -> None:
+    with site(delayed({"alert-ack": 0.2})) as testbed:
+        app = testbed.app()
         stream = app.ask("PUT", ACK, b"seen")
         app.raw(DataFrame(stream, b"more"))
         try:
-            got = app.answer(stream)
-            assert got.reset >= 0 or got.status == 200
+            response = app.answer(stream)
+            assert response.reset >= 0 or response.status == 200
         except EOFError:
             assert app.goaways
-        eventually(lambda: play.count("disconnected") + play.count("answered.served") == 1)
-        assert play.fleet.ran["00000000000000ac"] <= 1
+        eventually(lambda: testbed.count("disconnected") + testbed.count("answered.served") == 1)
+        assert testbed.fleet.ran["00000000000000ac"] <= 1
 
 
-def test_expect_100_is_answered_before_the_body() -> None:
-    with site() as play:
-        app = play.app()
+def test_expect_100_continue_is_answered_before_the_body() -> None:
+    with site() as testbed:
+        app = testbed.app()
         stream = app.ask("PUT", ACK, end=False, expect="100-continue")
         app.until(lambda: app.informed == [stream])
         app.session.send_data(stream, b"seen", end_stream=True)
@@ -259,17 +259,17 @@
         assert app.answer(stream).status == 200
 
 
-def test_a_body_that_does_not_come_gets_a_408() -> None:
-    with site(body_ms=200) as play:
-        app = play.app()
+def test_incomplete_body_gets_408() -> None:
+    with site(body_ms=200) as testbed:
+        app = testbed.app()
         assert app.answer(app.ask("PUT", ACK, b"half", end=False)).status == 408
         assert app.answer(app.ask("GET", TILE)).status == 200
 
 
-def test_the_cdni_front_serves_both_protocols_with_the_same_code() -> None:
-    with site(cdni_listen="127.0.0.1:0") as play:
-        app = App(play.node.http2[1].sock.getsockname())
-        play.apps.append(app)
+def test_cdni_front_serves_http2() -> None:
+    with site(cdni_listen="127.0.0.1:0") as testbed:
+        app = App(testbed.node.http2[1].sock.getsockname())
+        testbed.apps.append(app)
         assert app.answer(app.ask("GET", "/alive")).status == 200
         index = app.answer(app.ask("GET", "/metadata/hostindex"))
         assert index.status == 200 and "ptype=MI.HostIndex" in index.headers["content-type"]
@@ -280,72 +280,72 @@
         assert app.answer(app.ask("POST", "/triggers", b"{", content_type="text/plain")).status == 415
 
 
-# An alert-ack runs once
+# Alert-acks run once
 
 
-def test_reset_before_while_and_after_an_ack_is_out() -> None:
-    with site(slow({"alert-ack": 0.15})) as play:
-        app = play.app()
+def test_alert_ack_reset_before_during_and_after_its_attempt_ends_once() -> None:
+    with site(delayed({"alert-ack": 0.15})) as testbed:
+        app = testbed.app()
         before = app.ask("PUT", ACK, b"half", end=False)
         app.reset(before)
-        out = app.ask("PUT", ACK, b"whole")
-        eventually(lambda: play.asked("alert-ack") == 1)
-        app.reset(out)
-        eventually(lambda: play.count("disconnected") == 1)
-        done = app.ask("PUT", ACK, b"whole")
-        assert app.answer(done).status == 200
+        in_flight = app.ask("PUT", ACK, b"whole")
+        eventually(lambda: testbed.asked("alert-ack") == 1)
+        app.reset(in_flight)
+        eventually(lambda: testbed.count("disconnected") == 1)
+        answered = app.ask("PUT", ACK, b"whole")
+        assert app.answer(answered).status == 200
         try:
-            app.reset(done)
-        except Exception:  # the library knows that it is over; the frame goes out all the same
-            app.raw(RstStreamFrame(done, error_code=8))
+            app.reset(answered)
+        except Exception:  # the library rejects a reset of a closed stream, so send the frame directly
+            app.raw(RstStreamFrame(answered, error_code=8))
         assert app.answer(app.ask("GET", TILE)).status == 200
-        assert play.asked("alert-ack") == 2 and play.fleet.ran["00000000000000ac"] <= 2
-        assert play.count("received.alert-ack") == 2
-        assert play.count("disconnected") + play.count("answered.served") == 3, (
-            "one end each, with the tile's"
+        assert testbed.asked("alert-ack") == 2 and testbed.fleet.ran["00000000000000ac"] <= 2
+        assert testbed.count("received.alert-ack") == 2
+        assert testbed.count("disconnected") + testbed.count("answered.served") == 3, (
+            "one end for each request, with the tile's"
         )
 
 
-def test_a_cut_connection_ends_its_acks_once_each() -> None:
-    with site(slow({"alert-ack": 0.1})) as play:
-        app = play.app()
+def test_closed_connection_ends_each_of_its_acks_once() -> None:
+    with site(delayed({"alert-ack": 0.1})) as testbed:
+        app = testbed.app()
         for n in range(10):
             app.ask("PUT", f"/ops/alert-ack/{n:016x}", b"seen")
-        eventually(lambda: play.asked("alert-ack") == 10)
+        eventually(lambda: testbed.asked("alert-ack") == 10)
         app.close()
-        eventually(lambda: play.count("disconnected") == 10)
-        other = play.app()
+        eventually(lambda: testbed.count("disconnected") == 10)
+        other = testbed.app()
         assert other.answer(other.ask("GET", TILE)).status == 200
-        assert play.asked("alert-ack") == 10 and set(play.fleet.ran.values()) <= {1}
-        assert play.count("answered.served") == 1
-        eventually(
-            lambda: not play.node.core.requests_in_flight
-        )  # what is out runs to its end, and nobody hears of it
+        assert testbed.asked("alert-ack") == 10 and set(testbed.fleet.ran.values()) <= {1}
+        assert testbed.count("answered.served") == 1
+        eventually(lambda: not testbed.node.core.requests_in_flight)  # attempts in flight run to their end
 
 
-def test_an_id_open_on_two_streams_and_on_two_protocols() -> None:
-    with site(slow({"map-tiles": 0.2, "alert-ack": 0.2})) as play:
-        app = play.app()
+def test_request_id_in_use_on_another_stream_or_protocol_conflicts() -> None:
+    with site(delayed({"map-tiles": 0.2, "alert-ack": 0.2})) as testbed:
+        app = testbed.app()
         name = "0123456789abcdef"
-        two = [app.ask("GET", TILE, req_id=name) for _ in range(2)]
+        same_request = [app.ask("GET", TILE, req_id=name) for _ in range(2)]
         other = app.ask("GET", VIDEO, req_id=name)
-        assert [app.answer(one).status for one in two] == [200, 200], "the same question twice is harmless"
+        assert [app.answer(stream).status for stream in same_request] == [200, 200], (
+            "a repeated read is served"
+        )
         assert app.answer(other).status == 409
         first = app.ask("PUT", ACK, b"seen", req_id=name)
-        eventually(lambda: play.asked("alert-ack") == 1)
-        with socket.create_connection(play.http1, timeout=5) as sock:
+        eventually(lambda: testbed.asked("alert-ack") == 1)
+        with socket.create_connection(testbed.http1, timeout=5) as sock:
             lines = ["Host: x", f"Req-Id: {name}", "Req-Wait-Ms: 2000", "Content-Length: 4", "", "seen"]
             sock.sendall("\r\n".join([f"PUT {ACK} HTTP/1.1", *lines]).encode())
             assert b" 409 " in sock.recv(1000)
-        assert app.answer(first).status == 200 and play.fleet.ran == {"00000000000000ac": 1}
+        assert app.answer(first).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
 
 
 # Floods
 
 
-def test_ten_thousand_streams_opened_and_reset() -> None:
-    with site(slow({"map-tiles": 0.05}), first_ms=30_000, resets_burst=200, resets_per_s=50) as play:
-        app, good = play.app(), opened(play)
+def test_rapid_reset_of_ten_thousand_streams_ends_the_connection() -> None:
+    with site(delayed({"map-tiles": 0.05}), first_ms=30_000, resets_burst=200, resets_per_s=50) as testbed:
+        app, good = testbed.app(), connected_app(testbed)
         encoder = Encoder()
         frames = []
         for n in range(10_000):
@@ -357,20 +357,20 @@
         except OSError:
             pass
         assert (0, CALM) in [(0, code) for _, code in app.end()] or app.closed
-        eventually(lambda: play.count("http2.ended.calm") == 1)
-        assert play.count("http2.streams") < 1000 and play.asked("map-tiles") < 1000
+        eventually(lambda: testbed.count("http2.ended.calm") == 1)
+        assert testbed.count("http2.streams") < 1000 and testbed.asked("map-tiles") < 1000
         assert good.answer(good.ask("GET", VIDEO)).status == 200
-        eventually(lambda: not play.node.core.requests_in_flight)
+        eventually(lambda: not testbed.node.core.requests_in_flight)
 
 
-def opened(play: Site) -> App:
-    app = play.app()
+def connected_app(testbed: Site) -> App:
+    app = testbed.app()
     assert app.answer(app.ask("GET", TILE)).status == 200
     return app
 
 
-def calmed(app: App, *frames: Frame | bytes) -> None:
-    """What floods gets GOAWAY with ENHANCE_YOUR_CALM."""
+def assert_calmed(app: App, *frames: Frame | bytes) -> None:
+    """Send the frames, and check that the connection ends with ENHANCE_YOUR_CALM."""
     try:
         app.raw(*frames)
     except OSError:
@@ -392,16 +392,16 @@
 
 
 @pytest.mark.parametrize("kind", list(FLOODS))
-def test_floods_of_control_frames(kind: str) -> None:
-    with site() as play:
-        app = opened(play)
-        calmed(app, *FLOODS[kind](app))
-        assert opened(play)
+def test_flood_of_control_frames_ends_the_connection(kind: str) -> None:
+    with site() as testbed:
+        app = connected_app(testbed)
+        assert_calmed(app, *FLOODS[kind](app))
+        assert connected_app(testbed)
 
 
-def test_continuation_without_end_and_a_header_bomb() -> None:
-    with site() as play:
-        app = opened(play)
+def test_endless_continuation_and_header_bomb_end_the_connection() -> None:
+    with site() as testbed:
+        app = connected_app(testbed)
         encoder = Encoder()
         block = encoder.encode([(b"x", b"y" * 100)])
         frames: list[Frame] = [HeadersFrame(3, block)]
@@ -411,66 +411,68 @@
         except OSError:
             pass
         assert app.end() and app.goaways[0][1] in (CALM, PROTOCOL)
-        app = opened(play)
+        app = connected_app(testbed)
         frames = [HeadersFrame(3, block), *(ContinuationFrame(3, b"") for _ in range(1000))]
         try:
             app.raw(*frames)
         except OSError:
             pass
         assert app.end() and app.goaways[0][1] in (CALM, PROTOCOL)
-        app = opened(play)
-        # One entry of 4,000 bytes in the table, and a thousand references of a byte to it.
+        app = connected_app(testbed)
+        # One entry of 4,000 bytes in the HPACK table, and a thousand references of one byte to it.
         bomb = Encoder().encode([(b"x", b"y" * 3900)])
         head = HeadersFrame(3, bomb + b"\xbe" * 1000)
         head.flags |= {"END_HEADERS", "END_STREAM"}
-        calmed(app, head)
-        assert opened(play)
+        assert_calmed(app, head)
+        assert connected_app(testbed)
 
 
-def test_a_bad_preface_and_http1_to_the_port() -> None:
-    with site() as play:
-        with socket.create_connection(play.http2, timeout=5) as sock:
+def test_invalid_preface_and_http1_are_refused() -> None:
+    with site() as testbed:
+        with socket.create_connection(testbed.http2, timeout=5) as sock:
             sock.sendall(PREFACE[:14] + b"X" * 30)
             sock.settimeout(5)
             while sock.recv(1000):
                 pass
-        with socket.create_connection(play.http2, timeout=5) as sock:
+        with socket.create_connection(testbed.http2, timeout=5) as sock:
             sock.sendall(b"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
-            got = b"".join(iter(lambda: sock.recv(1000), b""))
-        assert got.startswith(b"HTTP/1.1 400 ") and got.endswith(b"by prior knowledge.\r\n")
-        assert len(got.partition(b"\r\n\r\n")[2]) == int(got.partition(b"Content-Length: ")[2].split()[0])
-        assert play.count("http2.alien") == 1 and opened(play)
+            response = b"".join(iter(lambda: sock.recv(1000), b""))
+        assert response.startswith(b"HTTP/1.1 400 ") and response.endswith(b"by prior knowledge.\r\n")
+        assert len(response.partition(b"\r\n\r\n")[2]) == int(
+            response.partition(b"Content-Length: ")[2].split()[0]
+        )
+        assert testbed.count("http2.alien") == 1 and connected_app(testbed)
 
 
-def test_a_silent_connection_and_an_idle_one_are_ended() -> None:
-    with site(first_ms=150, idle_ms=150) as play:
-        silent = socket.create_connection(play.http2, timeout=5)
-        app = opened(play)
+def test_silent_and_idle_connections_are_closed() -> None:
+    with site(first_ms=150, idle_ms=150) as testbed:
+        silent = socket.create_connection(testbed.http2, timeout=5)
+        app = connected_app(testbed)
         assert app.end() == [((1 << 31) - 1, NO_ERROR), (1, NO_ERROR)]
         while silent.recv(1000):
             pass
-        eventually(lambda: not play.front.connections)
+        eventually(lambda: not testbed.front.connections)
         silent.close()
 
 
 # Windows
 
 
-def test_a_window_of_nothing_ends_its_stream_and_no_other() -> None:
-    with site(window_shut_ms=300) as play:
-        app = play.app(window=0, read=False)
+def test_closed_stream_window_resets_only_its_stream() -> None:
+    with site(window_shut_ms=300) as testbed:
+        app = testbed.app(window=0, read=False)
         shut = app.ask("GET", VIDEO)
         open_ = app.ask("GET", TILE)
         app.session.increment_flow_control_window(20_000, open_)
         app.flush()
         assert app.answer(open_).status == 200
         assert app.answer(shut).reset == 8
-        eventually(lambda: play.front.stream_table.bytes == 0 and play.front.stream_table.open == 0)
+        eventually(lambda: testbed.front.stream_table.bytes == 0 and testbed.front.stream_table.open == 0)
 
 
-def test_a_window_that_opens_by_a_byte_at_a_time_ends_its_stream() -> None:
-    with site(window_shut_ms=300) as play:
-        app = play.app(window=0, read=False)
+def test_window_updates_of_one_byte_do_not_keep_a_stream_open() -> None:
+    with site(window_shut_ms=300) as testbed:
+        app = testbed.app(window=0, read=False)
         stream = app.ask("GET", VIDEO)
         began = time.monotonic()
         while not app.streams[stream].over():
@@ -484,9 +486,9 @@
         assert app.streams[stream].reset == 8 and 0 < len(app.streams[stream].body) < 1024
 
 
-def test_a_stalled_reader_stalls_no_other_stream() -> None:
-    with site() as play:
-        app = play.app(window=30_000, read=False)
+def test_stream_without_window_does_not_block_other_streams() -> None:
+    with site() as testbed:
+        app = testbed.app(window=30_000, read=False)
         app.session.increment_flow_control_window(16 << 20)
         stalled = app.ask("GET", VIDEO)
         app.until(lambda: len(app.streams[stalled].body) == 30_000)
@@ -498,16 +500,16 @@
         assert app.answer(stalled).body == content("00000000000000bb", "0", 120_000)
 
 
-def test_settings_that_shrink_the_window_below_what_is_in_flight() -> None:
-    with site() as play:
-        app = play.app(window=50_000, read=False)
+def test_settings_may_shrink_the_window_below_the_bytes_in_flight() -> None:
+    with site() as testbed:
+        app = testbed.app(window=50_000, read=False)
         stream = app.ask("GET", VIDEO)
         app.until(lambda: len(app.streams[stream].body) == 50_000)
-        app.session.update_settings({4: 10_000})  # its window is -40,000 now
+        app.session.update_settings({4: 10_000})  # the stream's window is now -40,000
         app.session.increment_flow_control_window(1 << 20)
         app.flush()
         assert len(app.answer(app.ask("GET", "/alive")).headers) and not app.streams[stream].over()
-        app.session.increment_flow_control_window(40_000, stream)  # and 0
+        app.session.increment_flow_control_window(40_000, stream)  # and now 0
         app.flush()
         with pytest.raises(TimeoutError):
             app.until(lambda: len(app.streams[stream].body) > 50_000, 0.2)
@@ -517,9 +519,9 @@
         assert app.streams[stream].body == content("00000000000000bb", "0", 120_000)
 
 
-def test_windows_that_overflow() -> None:
-    with site() as play:
-        app = play.app(window=0, read=False)
+def test_window_overflow_is_a_flow_control_error() -> None:
+    with site() as testbed:
+        app = testbed.app(window=0, read=False)
         stream = app.ask("GET", VIDEO)
         app.until(lambda: app.streams[stream].heads == 1)
         app.raw(
@@ -527,70 +529,72 @@
             WindowUpdateFrame(stream, window_increment=9),
         )
         assert app.answer(stream).reset == 3 or app.goaways
-        app = opened(play)
+        app = connected_app(testbed)
         app.raw(*(WindowUpdateFrame(0, window_increment=(1 << 31) - 1) for _ in range(2)))
         assert [code for _, code in app.end()] == [3]
 
 
-def test_a_shut_connection_window_ends_the_connection() -> None:
-    with site(window_shut_ms=200) as play:
-        app = play.app(read=False)
+def test_closed_connection_window_ends_the_connection() -> None:
+    with site(window_shut_ms=200) as testbed:
+        app = testbed.app(read=False)
         stream = app.ask("GET", VIDEO)
         assert [code for _, code in app.end()] == [CALM]
-        assert not app.streams[stream].ended and opened(play)
+        assert not app.streams[stream].ended and connected_app(testbed)
 
 
-# Shares
+# Shares and limits
 
 
-def test_one_app_can_not_crowd_out_another() -> None:
-    with site(slow({"map-tiles": 0.3}), open_requests=40) as play:
-        greedy, other = play.app(), play.app()
+def test_one_client_can_not_use_the_share_of_another() -> None:
+    with site(delayed({"map-tiles": 0.3}), open_requests=40) as testbed:
+        greedy, other = testbed.app(), testbed.app()
         many = [greedy.ask("GET", f"{TILE}?nth={n}") for n in range(40)]
-        eventually(lambda: play.count("http2.streams") == 40)
+        eventually(lambda: testbed.count("http2.streams") == 40)
         few = [other.ask("GET", f"{TILE}?nth={100 + n}") for n in range(9)]
-        got = [greedy.answer(one) for one in many]
-        assert sum(one.status in (200, 503) for one in got) == 20
-        assert [one.reset for one in got].count(REFUSED) == 20
-        assert all(other.answer(one).status in (200, 503) for one in few), "none is turned away by the front"
+        responses = [greedy.answer(stream) for stream in many]
+        assert sum(stream.status in (200, 503) for stream in responses) == 20
+        assert [stream.reset for stream in responses].count(REFUSED) == 20
+        assert all(other.answer(stream).status in (200, 503) for stream in few), (
+            "the front refuses none of them"
+        )
 
 
-def test_answers_that_find_no_room_are_refused_and_acks_are_told() -> None:
+def test_answers_over_the_byte_limit_are_rejected_and_acks_are_answered() -> None:
     with site(
         Terms(sizes={"river-video": 200_000, "map-tiles": 100, "alert-ack": 40}),
         all_kib=256,
         connection_kib=256,
-    ) as play:
-        app = play.app(window=0, read=False)
+    ) as testbed:
+        app = testbed.app(window=0, read=False)
         first = app.ask("GET", VIDEO)
         app.until(lambda: app.streams[first].heads == 1)
         second = app.answer(app.ask("GET", f"{VIDEO}?nth=1"))
-        # The connection holds more than its share by now: untouched, or refused with a time.
+        # The connection is over its share now: the stream is refused, or rejected with a retry time.
         assert second.reset == REFUSED or (second.status == 503 and second.headers["srv-wait-ms"] == "500")
-        other = play.app()
+        other = testbed.app()
         assert other.answer(other.ask("PUT", ACK, b"seen")).status == 200
 
 
-def test_too_many_connections_make_room_by_idle_ones() -> None:
-    with site(connections=3) as play:
-        idle = [opened(play) for _ in range(3)]
+def test_idle_connection_is_evicted_for_a_new_one_at_the_limit() -> None:
+    with site(connections=3) as testbed:
+        idle = [connected_app(testbed) for _ in range(3)]
         with pytest.raises(TimeoutError):
-            idle[0].until(lambda: False, 0.2)  # full is not too full
-        more = opened(play)
+            idle[0].until(lambda: False, 0.2)  # no eviction until a new connection needs the place
+        more = connected_app(testbed)
         assert idle[0].end()[-1][1] == NO_ERROR
         assert more.answer(more.ask("GET", TILE)).status == 200
 
 
-# The end
+# End of connections
 
 
-def test_a_drain_answers_what_is_in_flight_and_refuses_what_comes_after() -> None:
-    with site(slow({"map-tiles": 0.8}), streams=200) as play:
-        app = play.app()
+def test_drain_answers_requests_in_flight_and_refuses_later_streams() -> None:
+    with site(delayed({"map-tiles": 0.8}), streams=200) as testbed:
+        app = testbed.app()
         app.until(lambda: app.session.remote_settings.max_concurrent_streams == 200)
         streams = [app.ask("GET", f"{TILE}?nth={n}") for n in range(100)]
-        eventually(lambda: play.count("received.map-tiles") == 100)
-        play.stop()
+        eventually(lambda: testbed.count("received.map-tiles") == 100)
+        testbed.stop()
         app.until(lambda: len(app.goaways) == 1)
         assert app.goaways == [((1 << 31) - 1, NO_ERROR)]
         between = app.ask("GET", f"{TILE}?nth=100")
@@ -598,38 +602,38 @@
         last = app.goaways[1][0]
         late = app.ask("GET", f"{TILE}?nth=101")
         assert late > last
-        assert {app.answer(one).status for one in streams} <= {200, 503}, "each has its answer"
-        got = app.streams[between]
+        assert {app.answer(stream).status for stream in streams} <= {200, 503}, "each request is answered"
+        response = app.streams[between]
         if between <= last:
             assert app.answer(between).status in (200, 503)
-        assert got.over() or between > last
+        assert response.over() or between > last
         assert app.streams[late].reset in (REFUSED, -1) and not app.streams[late].heads
         assert app.end() and len(app.goaways) == 2
-        play.stopped()
+        testbed.stopped()
 
 
-def test_a_stream_between_the_two_notices_is_served() -> None:
-    with site(slow({"map-tiles": 0.2})) as play:
-        app = play.app()
+def test_stream_between_the_two_goaways_is_served() -> None:
+    with site(delayed({"map-tiles": 0.2})) as testbed:
+        app = testbed.app()
         app.ask("GET", TILE)
-        eventually(lambda: play.count("received.map-tiles") == 1)
-        play.front.drain()  # the app has not read it, nor answered the PING
+        eventually(lambda: testbed.count("received.map-tiles") == 1)
+        testbed.front.drain()  # the app has not read it, nor answered the PING
         between = app.ask("GET", f"{TILE}?nth=1")
         assert app.answer(between).status in (200, 503)
         assert app.end()[-1] == (between, NO_ERROR)
 
 
-def test_a_drain_does_not_overtake_what_has_been_read() -> None:
-    """Streams that were told as taken, and are on their way from the wire to the front, are answered."""
-    with site() as play:
-        app = opened(play)
-        (conn,) = play.front.connections.values()
+def test_drain_serves_streams_read_before_the_last_goaway() -> None:
+    """A stream that the last GOAWAY accepts is answered, even if the front handles its headers later."""
+    with site() as testbed:
+        app = connected_app(testbed)
+        (conn,) = testbed.front.connections.values()
         conn.wire.is_calling = True
-        conn.wire.session.highest_inbound_stream_id = 3  # read, and on its way
+        conn.wire.session.highest_inbound_stream_id = 3  # read, but not handled yet
         conn.begin_drain(immediately=True)
         assert app.streams and conn.last_stream == 3
         conn.on_headers(3, app.fields("GET", TILE))
-        assert conn.open_exchanges.pop(3).request.target == TILE, "not refused: it was told as taken"
+        assert conn.open_exchanges.pop(3).request.target == TILE, "not refused: the last GOAWAY accepts it"
         conn.check_drain(now_us())
         assert not conn.wire.ended
         conn.wire.is_calling = False
@@ -637,85 +641,85 @@
         assert conn.wire.ended and app.end()
 
 
-def test_a_drain_does_not_end_a_connection_between_an_answers_booking_and_its_bytes(
+def test_drain_does_not_end_a_connection_while_an_answer_is_being_framed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with site() as play:
-        app = opened(play)
-        (conn,) = play.front.connections.values()
-        looks: list[Thread] = []
+    with site() as testbed:
+        app = connected_app(testbed)
+        (conn,) = testbed.front.connections.values()
+        checks: list[Thread] = []
 
-        def slow_answer(*words: Any) -> Any:
+        def slow_answer(*args: Any) -> Any:
             conn.wire.is_calling = False
-            looks.append(Thread(target=conn.check_drain, args=(now_us(),)))
-            looks[0].start()
-            looks[0].join(0.1)  # the look waits, or finds nothing open
-            return http2_fields.encode_response(*words)
+            checks.append(Thread(target=conn.check_drain, args=(now_us(),)))
+            checks[0].start()
+            checks[0].join(0.1)  # the check waits for the lock; without the lock it would find nothing open
+            return http2_fields.encode_response(*args)
 
-        conn.wire.is_calling = True  # or the sweep would end it before it is asked
+        conn.wire.is_calling = True  # otherwise the periodic check ends the connection before the request
         conn.begin_drain(immediately=True)
-        conn.last_stream = 3  # the next stream is told as taken
+        conn.last_stream = 3  # the last GOAWAY accepts the next stream
         monkeypatch.setattr(
             http2_connection,
             "http2_fields",
             SimpleNamespace(parse_request=http2_fields.parse_request, encode_response=slow_answer),
         )
         assert app.answer(app.ask("GET", TILE)).status == 200
-        looks[0].join()
+        checks[0].join()
 
 
-def test_an_answer_that_is_being_begun_holds_the_end_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Between an answer's booking and its bytes no stream is open, and nothing waits to be written."""
-    with site() as play:
-        app, found = opened(play), Queue[bool]()
-        (conn,) = play.front.connections.values()
-        look = Thread(target=lambda: found.put(play.front.busy()), daemon=True)
+def test_server_is_busy_while_an_answer_is_being_framed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Between the removal of an open exchange and its answer's frames, nothing is open or unwritten."""
+    with site() as testbed:
+        app, results = connected_app(testbed), Queue[bool]()
+        (conn,) = testbed.front.connections.values()
+        check = Thread(target=lambda: results.put(testbed.front.busy()), daemon=True)
 
-        def send(*words: Any) -> bool:
-            look.start()
-            look.join(0.3)  # unless it waits for this answer, as it should, it has looked by now
+        def send(*args: Any) -> bool:
+            check.start()
+            check.join(0.3)  # a check that does not wait for this answer is done by now
             monkeypatch.setattr(conn.wire, "unwritten_bytes", lambda: 1)
             return True
 
         monkeypatch.setattr(conn.wire, "send", send)
         app.ask("GET", TILE)
-        assert found.get(timeout=5.0)
+        assert results.get(timeout=5.0)
         monkeypatch.undo()
 
 
-def test_a_drained_connection_waits_for_the_clients_end_and_not_for_good() -> None:
-    """A close with bytes unread would reset what the client has not read yet."""
-    with site() as play:
-        app, silent = opened(play), opened(play)
-        conns = list(play.front.connections.values())
+def test_drained_connection_waits_for_the_client_to_close_for_a_bounded_time() -> None:
+    """Closing with unread bytes would reset the connection, and the client would lose unread frames."""
+    with site() as testbed:
+        app, silent = connected_app(testbed), connected_app(testbed)
+        conns = list(testbed.front.connections.values())
         for conn in conns:
             conn.begin_drain(immediately=True)
         eventually(lambda: all(conn.wire.ended for conn in conns))
-        app.ask("GET", TILE)  # crosses our end, and is read
-        assert play.front.busy() and all(conn.wire.is_lingering() for conn in conns)
+        app.ask("GET", TILE)  # arrives after the server's end, and is read
+        assert testbed.front.busy() and all(conn.wire.is_lingering() for conn in conns)
         app.close()
         eventually(lambda: not conns[0].wire.is_lingering())
         conns[1].check_drain(conns[1].wire.ended_us + 10_000_000)
-        eventually(lambda: not play.front.connections and not play.front.busy())
+        eventually(lambda: not testbed.front.connections and not testbed.front.busy())
         silent.close()
 
 
-def test_a_client_that_never_reads_holds_the_end_up_no_longer_than_the_kill() -> None:
-    with site(Terms(sizes={"river-video": 240_000, "map-tiles": 100, "alert-ack": 40})) as play:
-        app = play.app(window=1 << 24)
+def test_client_that_never_reads_does_not_delay_shutdown_beyond_its_limit() -> None:
+    with site(Terms(sizes={"river-video": 240_000, "map-tiles": 100, "alert-ack": 40})) as testbed:
+        app = testbed.app(window=1 << 24)
         for n in range(60):
             app.ask("GET", f"{VIDEO}?nth={n}")
-        eventually(lambda: play.asked("river-video") >= 30)
+        eventually(lambda: testbed.asked("river-video") >= 30)
         began = time.monotonic()
-        play.stop()
-        play.stopped(5.0)
-        assert time.monotonic() - began < 3.7, "the longest deadline, counted as 3 s, and 0.7 s"
+        testbed.stop()
+        testbed.stopped(5.0)
+        assert time.monotonic() - began < 3.7, "the longest deadline, taken as 3 s, plus 0.7 s"
 
 
-def test_an_old_connection_is_told_to_go_away() -> None:
-    with site() as play:
-        play.terms(age_us=300_000)
-        app = play.app()
+def test_connection_at_its_maximum_age_gets_a_goaway() -> None:
+    with site() as testbed:
+        testbed.terms(age_us=300_000)
+        app = testbed.app()
         answered = 0
         while not app.goaways:
             assert app.answer(app.ask("GET", TILE)).status == 200
@@ -723,7 +727,7 @@
         assert answered and app.end()[-1][1] == NO_ERROR
 
 
-def test_sighup_changes_what_can_change_and_names_the_rest(
+def test_sighup_applies_new_limits_and_logs_settings_that_need_a_restart(
     tmp_path: object, caplog: pytest.LogCaptureFixture
 ) -> None:
     from pathlib import Path
@@ -731,30 +735,30 @@
     from lupintack.reload import reload_operator_file
 
     file = Path(str(tmp_path)) / "operator.toml"
-    with site() as play:
+    with site() as testbed:
         listen = "listen = '127.0.0.1:0'\n"
         file.write_text(f"[http2]\nenabled = true\n{listen}open_requests = 7\nconnections = 9")
         with caplog.at_level("INFO"):
-            assert reload_operator_file(play.node, {"LUPINTACK_OPERATOR": str(file)})
-        assert play.front.stream_table.terms.open_requests == 7
+            assert reload_operator_file(testbed.node, {"LUPINTACK_OPERATOR": str(file)})
+        assert testbed.front.stream_table.terms.open_requests == 7
         assert any("http2.connections" in str(getattr(r, "kv", "")) for r in caplog.records)
         file.write_text("[http2]\nenabled = true\nopen_requests = 0")
-        assert not reload_operator_file(play.node, {"LUPINTACK_OPERATOR": str(file)})
-        assert play.front.stream_table.terms.open_requests == 7
+        assert not reload_operator_file(testbed.node, {"LUPINTACK_OPERATOR": str(file)})
+        assert testbed.front.stream_table.terms.open_requests == 7
 
 
-def test_evacuate_tells_streams_connections_and_rejoin_takes_new_ones() -> None:
-    with site() as play:
-        app = play.app()
+def test_evacuate_drains_connections_and_rejoin_accepts_new_ones() -> None:
+    with site() as testbed:
+        app = testbed.app()
         assert app.answer(app.ask("GET", TILE)).status == 200
-        assert play.node.admin_service.evacuate().status == 200
+        assert testbed.node.admin_service.evacuate().status == 200
         app.until(lambda: bool(app.goaways))
         assert app.end()[-1][1] == NO_ERROR
-        late = play.app()  # the front still sends for a moment
+        late = testbed.app()  # clients may still connect for a moment
         assert late.answer(late.ask("GET", TILE)).status == 200
         late.until(lambda: bool(late.goaways))
-        assert play.node.admin_service.rejoin().status == 200
-        back = play.app()
+        assert testbed.node.admin_service.rejoin().status == 200
+        back = testbed.app()
         assert back.answer(back.ask("GET", TILE)).status == 200
-        time.sleep(0.3)  # longer than the grace after which a connection that ends would be told so
+        time.sleep(0.3)  # longer than the grace time after which a draining connection gets its last GOAWAY
         assert back.answer(back.ask("GET", TILE)).status == 200 and not back.goaways
