--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Scenarios of the platform's front, the caches and the notice board."""
+"""Tests of the platform's front with scripted clients, caches and discovery."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 MEDIA = "/ops/media/00000000000000ae"
 
 
-class Serving(unittest.TestCase):
-    """Whole answers, each once."""
+class RequestForwarding(unittest.TestCase):
+    """Requests are forwarded, and each is answered once."""
 
-    def test_bytes_tag_and_fields_are_passed_on(self) -> None:
+    def test_body_tag_and_fields_are_forwarded(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE}?nth=3 Req-Id:9b1f03aa5c7e2d41 X-Batch:17
             cache expect w cls=map-tiles item=00000000000000aa chunk=3 miss=p-* mine= at=s-*
@@ -54,14 +54,14 @@
             client a expect 200 ETag:"t2" body=xxx*
         """)
 
-    def test_a_key_goes_through_unchanged_to_every_try_and_a_size_to_the_module(self) -> None:
-        """Seen without it: `request ... is not as its client sent it`, and `-ERR bad request`."""
-        play = Scenario(settings=deployment.SECOND)
-        asked: list[i.Request] = []
-        play.node.core.trace = lambda now, events, actions: asked.extend(
-            one for one in events if isinstance(one, i.Request)
+    def test_idempotency_key_reaches_every_attempt_unchanged_and_size_reaches_the_decisions(self) -> None:
+        """Without it, caches reported `request ... is not as its client sent it`, and `-ERR bad request`."""
+        scenario = Scenario(settings=deployment.SECOND)
+        requests: list[i.Request] = []
+        scenario.node.core.trace = lambda now, events, actions: requests.extend(
+            event for event in events if isinstance(event, i.Request)
         )
-        play.run(f"""
+        scenario.run(f"""
             client a send PUT {POST} Req-Token:5c0f6e1a2b3d4c59a8b7c6d5e4f30211 body=note
             cache expect w cls=post nonce=5c0f6e1a2b3d4c59a8b7c6d5e4f30211 body=note
             cache send w refused tell=h
@@ -85,10 +85,10 @@
             client d send GET {MEDIA} Req-Kb:1e999
             client d expect 400 body=Req-Kb*
         """)
-        self.assertEqual([one.size_kb for one in asked], [0.0, 412.5, 0.0])
+        self.assertEqual([request.size_kb for request in requests], [0.0, 412.5, 0.0])
 
-    def test_answers_in_any_order_and_a_slow_client_stalls_nobody(self) -> None:
-        # More than an object holds, as the kernel takes that much from the writer at once.
+    def test_answers_are_written_in_any_order_and_a_slow_client_delays_no_other(self) -> None:
+        # The body is above the usual maximum, as the kernel would buffer a smaller one completely.
         with unittest.mock.patch.object(resp, "MAX_BODY_BYTES", 1 << 20):
             Scenario().run(f"""
                 client slow send GET {TILE}
@@ -101,7 +101,7 @@
                 client slow expect 200 body=xxx*
             """)
 
-    def test_refusal_comes_at_once_and_says_when_to_come_back(self) -> None:
+    def test_rejection_is_immediate_and_carries_a_retry_time(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE} Req-Wait-Ms:3000
             cache expect w
@@ -109,7 +109,7 @@
             client a expect 503 Srv-Wait-Ms:??*
         """)
 
-    def test_no_answer_by_the_deadline_is_a_final_answer_and_a_late_one_is_dropped(self) -> None:
+    def test_request_fails_at_its_deadline_and_a_late_answer_is_dropped(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE} Req-Wait-Ms:200
             cache expect w limit=*?
@@ -122,7 +122,7 @@
             client a expect 200 body=next
         """)
 
-    def test_a_client_that_leaves_is_owed_nothing(self) -> None:
+    def test_attempt_is_cancelled_when_the_client_disconnects(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE}
             cache expect w
@@ -130,7 +130,7 @@
             cache expect never_mind w
         """)
 
-    def test_term_answers_what_was_taken_and_takes_what_still_comes(self) -> None:
+    def test_sigterm_answers_open_requests_and_accepts_late_ones(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE} Req-Wait-Ms:3000
             cache expect w
@@ -149,10 +149,10 @@
             router expect stopped
         """)
 
-    def test_a_request_taken_in_the_last_moment_keeps_the_process_up_until_it_is_answered(self) -> None:
-        """Seen: 1 request lost at a planned restart, as nothing was open while its thread still read it."""
-        play = Scenario()
-        play.run(
+    def test_request_being_parsed_at_shutdown_delays_the_exit_until_it_is_answered(self) -> None:
+        """A planned restart lost a request: no request was open while its thread was still reading it."""
+        scenario = Scenario()
+        scenario.run(
             f"""
             client a send GET {TILE}
             cache expect w
@@ -161,31 +161,31 @@
         """,
             close=False,
         )
-        gate, real = threading.Event(), http1_messages.parse_head
+        gate, original_parse_head = threading.Event(), http1_messages.parse_head
 
-        def slow(raw: bytes, bodyless: bool = False) -> tuple[exchange.HttpRequest, int]:
+        def blocked_parse_head(raw: bytes, bodyless: bool = False) -> tuple[exchange.HttpRequest, int]:
             gate.wait(5)
-            return real(raw, bodyless)
-
-        with unittest.mock.patch.object(http1_connection, "parse_head", slow):
-            play.run(f"client a send GET {TILE}?nth=1", close=False)
-            play.run("router send TERM", close=False)
-            eventually(lambda: all(conn.reading_ended for conn in play.node.http1.connections))
-            play.stopping.join(0.4)
-            self.assertTrue(play.stopping.is_alive())
+            return original_parse_head(raw, bodyless)
+
+        with unittest.mock.patch.object(http1_connection, "parse_head", blocked_parse_head):
+            scenario.run(f"client a send GET {TILE}?nth=1", close=False)
+            scenario.run("router send TERM", close=False)
+            eventually(lambda: all(conn.reading_ended for conn in scenario.node.http1.connections))
+            scenario.stopping.join(0.4)
+            self.assertTrue(scenario.stopping.is_alive())
             gate.set()
-            play.run("""
+            scenario.run("""
                 cache expect v chunk=1
                 cache send v ok - two
                 client a expect 200 Connection:close body=two
                 router expect stopped
             """)
 
-    def test_a_connection_over_the_bound_waits_and_is_served(self) -> None:
-        """Closing it would lose a request that its client has written already."""
-        play = Scenario(sockets=3)
-        play.node.http1.max_connections = 1
-        play.run(f"""
+    def test_connection_over_the_limit_waits_and_is_served(self) -> None:
+        """Closing it would lose a request that its client may have written already."""
+        scenario = Scenario(sockets=3)
+        scenario.node.http1.max_connections = 1
+        scenario.run(f"""
             client a send GET {TILE}
             cache expect w
             client b send GET {TILE}?nth=1
@@ -199,10 +199,10 @@
         """)
 
 
-class Unsafe(unittest.TestCase):
-    """A class that must never run twice."""
+class NonIdempotentWrites(unittest.TestCase):
+    """Requests of a class that must never run twice."""
 
-    def test_is_written_once_and_answered(self) -> None:
+    def test_write_is_sent_once_and_answered(self) -> None:
         Scenario().run(f"""
             client a send PUT {ACK} body=seen
             cache expect w cls=alert-ack miss=o-1 body=seen
@@ -210,7 +210,7 @@
             client a expect 200 body=done
         """)
 
-    def test_reset_after_the_send_is_failed_never_refused_and_not_sent_again(self) -> None:
+    def test_write_whose_connection_closes_after_the_send_fails_and_is_not_retried(self) -> None:
         Scenario().run(f"""
             client a send PUT {ACK} body=seen
             cache expect w
@@ -219,7 +219,7 @@
             cache expect nothing 100
         """)
 
-    def test_refused_connect_proves_that_nothing_ran(self) -> None:
+    def test_write_is_rejected_when_all_connects_are_refused(self) -> None:
         Scenario().run(f"""
             cache close s-1
             cache close s-2
@@ -228,10 +228,10 @@
         """)
 
 
-class Members(unittest.TestCase):
-    """The list and purges, from the notice board."""
+class MemberListAndPurges(unittest.TestCase):
+    """The member list and purges from discovery."""
 
-    def test_drained_members_get_nothing_also_as_a_source(self) -> None:
+    def test_drained_members_get_no_requests_and_are_no_source(self) -> None:
         Scenario().run(f"""
             board expect watch 1
             board send {{"rev":2,"pool":{{"seq":2,"hosts":[{{line s-1 Terminating}},{{line p-1 Gone}}]}}}}
@@ -242,11 +242,11 @@
             client a expect 200
         """)
 
-    def test_a_purge_that_the_module_has_not_heard_of_yet_binds_what_it_decides(self) -> None:
-        """Its turn may come late: the table's number, not the time of the decision, tells what it knew."""
-        play = Scenario(link=1e9, memory_mb=192)
-        told: list[object] = []
-        play.run(f"""
+    def test_purge_applies_to_decisions_made_before_the_decision_state_has_it(self) -> None:
+        """A decision's knowledge of purges is its table revision, not its time: its turn may be late."""
+        scenario = Scenario(link=1e9, memory_mb=192)
+        notifications: list[object] = []
+        scenario.run(f"""
             client a send GET {TILE} X-Batch:17
             cache expect w
             cache send w ok
@@ -259,13 +259,13 @@
             client a expect 200
             board expect watch 1
         """, close=False)  # fmt: skip
-        assert play.node.core.counters["answered.local_copy"] == 1
-        play.node.member_table.notify = told.append
-        play.run("""
+        assert scenario.node.core.counters["answered.local_copy"] == 1
+        scenario.node.member_table.notify = notifications.append
+        scenario.run("""
             board send {"rev":2,"flush":{"collection":17,"ms":{now}}}
         """, close=False)  # fmt: skip
-        eventually(lambda: bool(told))
-        play.run(f"""
+        eventually(lambda: bool(notifications))
+        scenario.run(f"""
             client a send GET {TILE} X-Batch:17
             client a expect 503
             client a send GET {TILE}?nth=1 X-Batch:17
@@ -274,7 +274,7 @@
             cache expect w
         """)
 
-    def test_a_purge_bounds_the_age_and_a_bad_line_is_passed_over(self) -> None:
+    def test_purge_bounds_the_age_of_answers_and_an_invalid_line_is_ignored(self) -> None:
         Scenario().run(f"""
             board expect watch 1
             board send not json
@@ -292,7 +292,7 @@
             board expect watch 3
         """)
 
-    def test_a_bad_frame_ends_the_connection_and_not_the_router(self) -> None:
+    def test_invalid_frame_ends_the_member_connection_and_the_request_is_retried(self) -> None:
         Scenario().run(f"""
             client a send GET {TILE} Req-Wait-Ms:3000
             cache expect w
@@ -303,12 +303,14 @@
         """)
 
 
-class Stopping(unittest.TestCase):
-    """The end comes before the kill, and nobody is cut off."""
+class Shutdown(unittest.TestCase):
+    """The shutdown ends before the kill, and every open request is answered."""
 
-    def test_what_is_owed_at_the_end_is_failed_before_the_kill(self) -> None:
-        soon = unittest.mock.patch.object(state, "PLAN_ALONE", state.ShutdownPlan(False, 100_000, 200_000))
-        with soon, unittest.mock.patch.multiple(main, ACCEPT_AFTER_SIGTERM_S=0.2, MAX_ANSWER_S=0.5):
+    def test_requests_open_at_shutdown_fail_before_the_kill(self) -> None:
+        short_plan = unittest.mock.patch.object(
+            state, "PLAN_ALONE", state.ShutdownPlan(False, 100_000, 200_000)
+        )
+        with short_plan, unittest.mock.patch.multiple(main, ACCEPT_AFTER_SIGTERM_S=0.2, MAX_ANSWER_S=0.5):
             Scenario().run("""
                 client a send GET /ops/river-video/00000000000000aa Req-Wait-Ms:5000
                 cache expect w
@@ -320,12 +322,12 @@
             """)
 
 
-class BadPeers(unittest.TestCase):
-    """Spoilt answers end the connection; what is more than belongs to one is passed over."""
+class InvalidMemberAnswers(unittest.TestCase):
+    """Invalid answers end the connection; surplus answers are ignored."""
 
-    def test_a_spoilt_answer_is_tried_elsewhere_and_never_passed_on(self) -> None:
+    def test_invalid_answer_is_retried_elsewhere_and_never_forwarded(self) -> None:
         copy = "entity=t,issued={now}"
-        for words in (
+        for answer in (
             "ok entity=t\x01,issued={now} x",
             f"ok {copy},what=1 x",
             f"ok {copy},delay=nan x",
@@ -341,30 +343,30 @@
             "raw *4\\r\\n$16\\r\\n{w}\\r\\n$2\\r\\nok\\r\\n$1\\r\\n-\\r\\n$3000000000\\r\\n",
             "raw *4\\r\\n$3\\r\\nxyz\\r\\n$2\\r\\nok\\r\\n$1\\r\\n-\\r\\n$1\\r\\nx\\r\\n",
         ):
-            with self.subTest(words=words):
+            with self.subTest(answer=answer):
                 Scenario().run(f"""
                     client a send GET {TILE} Req-Wait-Ms:3000
                     cache expect w
-                    cache send w {words}
+                    cache send w {answer}
                     cache expect v
                     cache send v ok - good
                     client a expect 200 body=good
                 """)
 
-    def test_one_that_stops_short_is_not_waited_for(self) -> None:
+    def test_truncated_answer_times_out_and_is_retried(self) -> None:
         head = "*4\\r\\n$16\\r\\n{w}\\r\\n$2"
-        for words in (head, head + "\\r\\nok\\r\\n$1\\r\\n-\\r\\n$90\\r\\nab"):
-            with self.subTest(words=words), unittest.mock.patch.object(resp, "STALL_TIMEOUT_S", 0.1):
+        for answer in (head, head + "\\r\\nok\\r\\n$1\\r\\n-\\r\\n$90\\r\\nab"):
+            with self.subTest(answer=answer), unittest.mock.patch.object(resp, "STALL_TIMEOUT_S", 0.1):
                 Scenario().run(f"""
                     client a send GET {TILE} Req-Wait-Ms:3000
                     cache expect w
-                    cache send w raw {words}
+                    cache send w raw {answer}
                     cache expect v
                     cache send v ok - good
                     client a expect 200 body=good
                 """)
 
-    def test_a_second_copy_and_an_unknown_id_are_passed_over(self) -> None:
+    def test_second_answer_and_answer_with_an_unknown_id_are_ignored(self) -> None:
         other = "*4\\r\\n$16\\r\\n00000000000000ff\\r\\n$2\\r\\nok\\r\\n$1\\r\\n-\\r\\n$1\\r\\nx\\r\\n"
         Scenario().run(f"""
             client a send GET {TILE}
@@ -383,19 +385,19 @@
             client a expect 200 body=four
         """)
 
-    def test_members_share_the_descriptors_there_are(self) -> None:
-        play = Scenario()
-        play.node.terms.quota.max_connections = 1
+    def test_member_connections_stay_within_the_shared_quota(self) -> None:
+        scenario = Scenario()
+        scenario.node.terms.quota.max_connections = 1
         sends = "\n".join(f"client c{n} send GET {TILE}?nth={n}\ncache expect w" for n in range(8))
-        play.run(sends, close=False)
-        self.assertEqual(play.node.terms.quota.used, 1)  # before the end, which gives it back
-        play.close()
+        scenario.run(sends, close=False)
+        self.assertEqual(scenario.node.terms.quota.used, 1)  # before the close, which releases it
+        scenario.close()
 
 
-class Board(unittest.TestCase):
-    """News is heeded once, in order, and a board that ends, stops or moves is asked again from the last."""
+class DiscoveryConnection(unittest.TestCase):
+    """Events apply once, in order; after a close, silence or move the watch resumes at the last revision."""
 
-    def test_what_was_told_before_undoes_nothing(self) -> None:
+    def test_repeated_older_event_changes_nothing(self) -> None:
         pool = '{"rev":%d,"pool":{"whole":false,"hosts":[{line %s}]}}'
         gone, drains, ready = pool % (2, "s-2 Gone"), pool % (3, "s-1 Terminating"), pool % (4, "s-1 Ready")
         Scenario().run(f"""
@@ -411,7 +413,7 @@
             cache expect w at=s-1
         """)
 
-    def test_half_an_event_and_a_gap_are_asked_for_again_and_a_gap_that_stays_is_passed_over(self) -> None:
+    def test_truncated_event_and_gap_are_requested_again_and_a_lasting_gap_is_skipped(self) -> None:
         flush = '{"rev":%d,"flush":{"collection":17,"ms":{now}}}'
         Scenario().run(f"""
             board expect watch 1
@@ -429,7 +431,7 @@
             board expect watch 4
         """)
 
-    def test_one_that_stops_is_left_for_a_new_connection_also_when_half_a_line_drips_on(self) -> None:
+    def test_silent_discovery_connection_is_replaced_even_in_the_middle_of_a_line(self) -> None:
         with unittest.mock.patch.object(discovery_client, "SILENCE_TIMEOUT_S", 0.2):
             Scenario().run("""
                 board expect watch 1
@@ -438,7 +440,7 @@
                 board expect watch 1
             """)
 
-    def test_a_new_configuration_moves_it_and_a_bad_one_changes_nothing(self) -> None:
+    def test_new_configuration_reconnects_and_an_invalid_one_changes_nothing(self) -> None:
         Scenario().run(f"""
             board expect watch 1
             router send HUP bad
@@ -455,9 +457,9 @@
             cache expect w at=p-*
         """)
 
-    def test_who_is_gone_is_forgotten(self) -> None:
-        play = Scenario()
-        play.run(f"""
+    def test_removed_members_are_forgotten(self) -> None:
+        scenario = Scenario()
+        scenario.run(f"""
             board expect watch 1
             board send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}]}}}}
             board applied 2
@@ -469,20 +471,24 @@
             cache expect v at=p-1
         """)
         self.assertEqual(
-            (len(play.node.core.member_links.endpoints), len(play.node.member_table.usable_endpoints)), (2, 2)
+            (
+                len(scenario.node.core.member_links.endpoints),
+                len(scenario.node.member_table.usable_endpoints),
+            ),
+            (2, 2),
         )
 
-    def test_a_new_member_at_a_gone_ones_address_gets_connections_of_its_own(self) -> None:
-        play = Scenario()
-        play.run(f"""
+    def test_new_member_at_a_removed_members_address_gets_new_connections(self) -> None:
+        scenario = Scenario()
+        scenario.run(f"""
             board expect watch 1
             board send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-2 Gone}}]}}}}
             board applied 2
             client a send GET {TILE}
             cache expect old at=s-1
         """, close=False)  # fmt: skip
-        new = json.dumps(play.line("s-1", host="s-9"))
-        play.run(f"""
+        new = json.dumps(scenario.line("s-1", host="s-9"))
+        scenario.run(f"""
             board send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {new}]}}}}
             board applied 3
             client b send GET {TILE}?nth=1
@@ -492,9 +498,9 @@
             cache send fresh ok - x
             client b expect 200
         """)
-        self.assertIsNot(play.named["old"][0], play.named["fresh"][0])
+        self.assertIsNot(scenario.named["old"][0], scenario.named["fresh"][0])
 
-    def test_what_is_no_event_changes_nothing_and_is_logged(self) -> None:
+    def test_invalid_event_changes_nothing_and_is_logged(self) -> None:
         strange, bare = "{line s-1 Sleeping}", '{"dial":"127.0.0.1:1","health":"Ready"}'
         pool = '{"rev":%d,"pool":{"whole":false,"hosts":[%s]}}'
         with self.assertLogs("discovery", "WARNING") as logs:
@@ -512,10 +518,10 @@
                 cache send w ok - x
                 client a expect 200
             """)
-        told = ["invalid discovery line", *["unusable discovery event"] * 2]
-        self.assertEqual([r.getMessage() for r in logs.records], told)
+        expected = ["invalid discovery line", *["unusable discovery event"] * 2]
+        self.assertEqual([r.getMessage() for r in logs.records], expected)
 
-    def test_a_silent_board_undoes_no_drain_and_no_purge(self) -> None:
+    def test_drains_and_purges_survive_a_silent_discovery_connection(self) -> None:
         with unittest.mock.patch.object(discovery_client, "SILENCE_TIMEOUT_S", 0.2):
             Scenario().run(f"""
                 board expect watch 1
@@ -531,10 +537,10 @@
             """)
 
 
-class Crowd(unittest.TestCase):
-    """Clients that hold connections for nothing are closed; what is owed an answer never is."""
+class IdleClientConnections(unittest.TestCase):
+    """Idle client connections are closed; those with an open request never are."""
 
-    def test_silent_ones_and_halves_are_closed_in_time(self) -> None:
+    def test_silent_connections_and_incomplete_requests_time_out(self) -> None:
         with unittest.mock.patch.multiple(http1_connection, REQUEST_TIMEOUT_S=0.2, IDLE_TIMEOUT_S=0.4):
             Scenario().run(f"""
                 client a send raw ''
@@ -548,11 +554,11 @@
                 client d expect closed
             """)
 
-    def test_room_is_made_from_idle_ones(self) -> None:
-        play = Scenario()
-        play.node.http1.max_connections, play.node.http1.reserved_connections = 3, 1
+    def test_idle_connections_are_evicted_for_new_ones(self) -> None:
+        scenario = Scenario()
+        scenario.node.http1.max_connections, scenario.node.http1.reserved_connections = 3, 1
         with unittest.mock.patch.multiple(http1_connection, REQUEST_TIMEOUT_S=60, IDLE_TIMEOUT_S=60):
-            play.run(f"""
+            scenario.run(f"""
                 client a send GET {TILE} Req-Wait-Ms:5000
                 cache expect w
                 client b send GET /alive
@@ -570,95 +576,101 @@
                 client a expect 200 body=one
             """)
 
-    def test_a_request_that_crosses_the_end_is_answered(self) -> None:
-        """The end of the reading is ours; taken for the client's leaving, it lost a request that had come."""
-        play = Scenario()
-        ends = socket.socketpair()
-        conn = http1_connection.Http1Connection(play.node.http1, ends[0], "client")
-        ends[1].sendall(f"GET {TILE} HTTP/1.1\r\nHost: x\r\n".encode())
-        ends[1].sendall(b"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 2000\r\n\r\n")
+    def test_request_that_arrives_as_its_connection_expires_is_answered(self) -> None:
+        """The server's own shutdown of reading was taken for a disconnection, and lost a received request."""
+        scenario = Scenario()
+        socket_pair = socket.socketpair()
+        conn = http1_connection.Http1Connection(scenario.node.http1, socket_pair[0], "client")
+        socket_pair[1].sendall(f"GET {TILE} HTTP/1.1\r\nHost: x\r\n".encode())
+        socket_pair[1].sendall(b"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 2000\r\n\r\n")
         conn.expire()
         threading.Thread(target=conn.run, daemon=True).start()
-        play.clients["a"] = Lines(ends[1])
-        play.run("""
+        scenario.clients["a"] = Lines(socket_pair[1])
+        scenario.run("""
             cache expect w
             cache send w ok - crossed
             client a expect 200 Connection:close body=crossed
             client a expect closed
         """)
 
-    def test_an_answer_half_taken_by_the_kernel_holds_the_end_of_the_process_up(self) -> None:
-        """Between the two halves of a long answer the request is open no more and the rest not known yet: a
-        process that looked just then ended, and its client had half of an answer.
+    def test_server_is_busy_while_an_answer_is_half_written(self) -> None:
+        """While the first half of a long answer is written, the request is not open and the rest is not known
+        yet. A process that checked at that moment exited, and its client got half of an answer.
         """
-        play = Scenario()
-        server, ends = play.node.http1, socket.socketpair()
-        conn = http1_connection.Http1Connection(server, ends[0], "client")
+        scenario = Scenario()
+        server, socket_pair = scenario.node.http1, socket.socketpair()
+        conn = http1_connection.Http1Connection(server, socket_pair[0], "client")
         server.connections.add(conn)
-        write = conn.write_now
-        found: Queue[bool] = Queue()
-        look = threading.Thread(target=lambda: found.put(server.busy()), daemon=True)
-
-        def half(data: list[bytes]) -> list[memoryview]:
-            look.start()
-            look.join(0.3)  # unless it waits for this write, as it should, it has looked by now
-            return [memoryview(one[len(one) // 2 :]) for one in data if not write([one[: len(one) // 2]])]
-
-        rest = conn.write_remaining
-
-        def held(left: list[memoryview]) -> None:
-            look.join(5.0)  # or on a busy machine the answer is whole before the look: then False is right
-            rest(left)
-
-        conn.write_now = half  # type: ignore[method-assign]
-        conn.write_remaining = held  # type: ignore[method-assign,assignment]
+        original_write_now = conn.write_now
+        results: Queue[bool] = Queue()
+        busy_check = threading.Thread(target=lambda: results.put(server.busy()), daemon=True)
+
+        def write_half(data: list[bytes]) -> list[memoryview]:
+            busy_check.start()
+            busy_check.join(0.3)  # a check that does not wait for this write is done by now
+            return [
+                memoryview(part[len(part) // 2 :])
+                for part in data
+                if not original_write_now([part[: len(part) // 2]])
+            ]
+
+        original_write_remaining = conn.write_remaining
+
+        def delayed_write_remaining(remaining: list[memoryview]) -> None:
+            busy_check.join(
+                5.0
+            )  # on a busy machine the answer may be complete before the check, which then returns False
+            original_write_remaining(remaining)
+
+        conn.write_now = write_half  # type: ignore[method-assign]
+        conn.write_remaining = delayed_write_remaining  # type: ignore[method-assign]
         threading.Thread(target=conn.run, daemon=True).start()
-        ends[1].sendall(f"GET {TILE} HTTP/1.1\r\nHost: x\r\n".encode())
-        ends[1].sendall(b"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 2000\r\n\r\n")
-        play.run("cache expect w\ncache send w ok - 20000", close=False)
-        self.assertTrue(found.get(timeout=5.0))
-        play.close()
-
-    def test_a_silent_one_makes_room_soon_but_not_before_its_request_can_come(self) -> None:
-        """With 150 ms for each, hundreds of them at once kept the usual clients waiting as long."""
-        play = Scenario()
-        server, ends = play.node.http1, socket.socketpair()
-        conn = http1_connection.Http1Connection(server, ends[0], "client")
+        socket_pair[1].sendall(f"GET {TILE} HTTP/1.1\r\nHost: x\r\n".encode())
+        socket_pair[1].sendall(b"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 2000\r\n\r\n")
+        scenario.run("cache expect w\ncache send w ok - 20000", close=False)
+        self.assertTrue(results.get(timeout=5.0))
+        scenario.close()
+
+    def test_silent_connection_is_evicted_only_after_its_first_request_could_arrive(self) -> None:
+        """With 150 ms for each, hundreds of silent connections made other clients wait as long."""
+        scenario = Scenario()
+        server, socket_pair = scenario.node.http1, socket.socketpair()
+        conn = http1_connection.Http1Connection(server, socket_pair[0], "client")
         server.connections.add(conn)
         for ms, ended in ((20, False), (60, True)):
             server.evict_idle_connections(conn.waiting_since_us + ms * 1000)
             self.assertEqual(conn.expired, ended)
-        play.run("client a send GET /alive\nclient a expect 200")
-        for end in ends:
+        scenario.run("client a send GET /alive\nclient a expect 200")
+        for end in socket_pair:
             end.close()
 
 
-class OwnCopies(unittest.TestCase):
-    """What the router keeps itself, where its configuration gives it a link."""
+class LocalCache(unittest.TestCase):
+    """The local cache, which a router with a configured link has."""
 
-    def test_a_part_asked_for_again_is_kept_and_served_until_it_is_purged(self) -> None:
-        ask = f"client a send GET {TILE} X-Batch:17"
+    def test_repeatedly_requested_part_is_cached_until_it_is_purged(self) -> None:
+        request = f"client a send GET {TILE} X-Batch:17"
         fill = """cache expect w
             cache send w ok entity=t,issued={now},tell=f map
             client a expect 200 body=map"""
         Scenario(link=1e6).run(f"""
             board expect watch 1
-            {ask}
+            {request}
             {fill}
-            {ask}
+            {request}
             {fill}
-            {ask}
+            {request}
             client a expect 200 ETag:"t" body=map
-            {ask} If-None-Match:"t"
+            {request} If-None-Match:"t"
             client a expect 304 ETag:"t"
             cache expect nothing 50
             board send {{"rev":2,"flush":{{"collection":17,"ms":{{now+1}}}}}}
             board applied 2
-            {ask}
+            {request}
             {fill}
         """)
 
-    def test_what_was_under_way_at_a_purge_is_not_kept_whatever_its_stamp_says(self) -> None:
+    def test_answer_in_flight_during_a_purge_is_not_cached_even_with_a_newer_timestamp(self) -> None:
         fill = f"""client a send GET {TILE}
             cache expect w
             cache send w ok entity=t,issued={{now}} old
@@ -678,25 +690,25 @@
             cache expect v
         """)
 
-    def test_none_is_served_once_too_old_or_while_the_link_is_behind_or_the_board_silent(self) -> None:
+    def test_local_copy_is_not_served_if_too_old_or_the_link_is_behind_or_the_list_unproved(self) -> None:
         fill = f"""client a send GET {TILE}
             cache expect w
             cache send w ok entity=t,issued={{now-7000}} 40000
             client a expect 200"""
-        own = f"""client a send GET {TILE}
+        local_copy = f"""client a send GET {TILE}
             client a expect 200
             cache expect nothing 30"""
-        Scenario(link=1e6).run(f"{fill}\n{fill}\n{own}\nwait 1000\n{fill}")
-        fresh = fill.replace("-7000", "")
-        # 400 ms of the link for one: the next finds it over a fifth of the aim behind.
-        Scenario(link=1e5).run(f"{fresh}\n{fresh}\n{own.replace('30', '0')}\n{fresh}")
-        silent = Scenario(link=1e6)
-        silent.node.member_table.validity.proved_us -= 3_000_000
-        silent.run(f"{fresh}\n{fresh}\n{fresh}")
+        Scenario(link=1e6).run(f"{fill}\n{fill}\n{local_copy}\nwait 1000\n{fill}")
+        fresh_fill = fill.replace("-7000", "")
+        # One body takes 400 ms of the link, which is then behind by over a fifth of the objective.
+        Scenario(link=1e5).run(f"{fresh_fill}\n{fresh_fill}\n{local_copy.replace('30', '0')}\n{fresh_fill}")
+        unproved = Scenario(link=1e6)
+        unproved.node.member_table.validity.proved_us -= 3_000_000
+        unproved.run(f"{fresh_fill}\n{fresh_fill}\n{fresh_fill}")
 
 
-class Silent(unittest.TestCase):
-    """A member that is cut off says nothing."""
+class UnresponsiveMembers(unittest.TestCase):
+    """Members that are cut off do not answer."""
 
     def setUp(self) -> None:
         patch = unittest.mock.patch.multiple(
@@ -705,7 +717,7 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_a_connection_that_does_not_answer_there_is_ended_and_its_wants_go_elsewhere(self) -> None:
+    def test_unanswered_health_check_ends_the_connection_and_its_requests_are_retried(self) -> None:
         Scenario().run("""
             client a send GET /ops/river-video/00000000000000aa Req-Wait-Ms:5000
             cache expect w
@@ -715,43 +727,43 @@
             client a expect 200 body=elsewhere
         """)
 
-    def test_one_under_steady_traffic_is_found_silent_and_gets_no_more(self) -> None:
-        """Counted from the last write, a dead connection that is written to often was never asked."""
-        ask = "client c%d send GET %s?nth=%d Req-Wait-Ms:5000\nwait 40"
+    def test_unresponsive_connection_gets_health_checks_under_steady_traffic(self) -> None:
+        """Counted from the last write, a dead connection with many writes never got a health check."""
+        request = "client c%d send GET %s?nth=%d Req-Wait-Ms:5000\nwait 40"
         with unittest.mock.patch.object(core, "LINK_TICK_INTERVAL_US", 20_000):
-            play = Scenario()
-            play.node.terms.quota.max_connections = 1  # nothing but the silent connection
-            play.run("\n".join(ask % (n, TILE, n) for n in range(15)))
-        words = [play.wants.get(timeout=5)[2][0] for _ in range(10)]
-        self.assertIn("there", words)
+            scenario = Scenario()
+            scenario.node.terms.quota.max_connections = 1  # no connection but the silent one
+            scenario.run("\n".join(request % (n, TILE, n) for n in range(15)))
+        commands = [scenario.wants.get(timeout=5)[2][0] for _ in range(10)]
+        self.assertIn("there", commands)
 
-    def test_one_in_doubt_is_passed_over_for_another(self) -> None:
+    def test_suspect_connection_is_avoided_if_there_is_another(self) -> None:
         with unittest.mock.patch.multiple(
             connection_pool, SUSPECT_AFTER_US=50_000, HEALTH_CHECK_AFTER_US=60_000_000
         ):
-            play = Scenario()
-            play.run(f"""
+            scenario = Scenario()
+            scenario.run(f"""
                 client a send GET {TILE}
                 cache expect w
                 wait 100
                 client b send GET {TILE}?nth=1
                 cache expect v
             """)
-        self.assertIsNot(play.named["w"][0], play.named["v"][0])
+        self.assertIsNot(scenario.named["w"][0], scenario.named["v"][0])
 
-    def test_a_yes_in_the_form_of_every_answer_keeps_the_connection(self) -> None:
-        """`TAG yes - ""`: read as a bad frame, it ended a connection just as that had shown to work."""
-        play = Scenario()
-        play.run("""
+    def test_health_check_answer_with_all_fields_keeps_the_connection(self) -> None:
+        """`TAG yes - ""` was read as a bad frame, and ended a connection that had just proved to work."""
+        scenario = Scenario()
+        scenario.run("""
             client a send GET /ops/river-video/00000000000000aa Req-Wait-Ms:5000
             cache expect w
             cache expect there yes - ''
             cache send w ok - slow
             client a expect 200 body=slow
         """)
-        self.assertEqual(play.node.core.counters["ended.bad_frame"], 0)
+        self.assertEqual(scenario.node.core.counters["ended.bad_frame"], 0)
 
-    def test_one_that_answers_is_kept_and_an_ack_is_not_sent_again(self) -> None:
+    def test_connection_that_answers_health_checks_is_kept_and_an_ack_is_not_retried(self) -> None:
         Scenario().run(f"""
             client a send GET /ops/river-video/00000000000000aa Req-Wait-Ms:5000
             cache expect w
@@ -766,8 +778,8 @@
         """)
 
 
-class Process(unittest.TestCase):
-    """The program itself: signals, and configurations that can't be used."""
+class RouterProcess(unittest.TestCase):
+    """The router as a process: signals, and invalid configurations."""
 
     def start(self, config: str) -> subprocess.Popen[str]:
         folder = tempfile.TemporaryDirectory()
@@ -775,10 +787,10 @@
         path = Path(folder.name) / "config.json"
         path.write_text(config)
         env = {**os.environ, "EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:0"}
-        words = [sys.executable, "-m", "lupintack"]
-        return subprocess.Popen(words, env=env, stderr=subprocess.PIPE, text=True)
+        command = [sys.executable, "-m", "lupintack"]
+        return subprocess.Popen(command, env=env, stderr=subprocess.PIPE, text=True)
 
-    def test_counters_are_printed_on_usr1_and_at_the_end(self) -> None:
+    def test_counters_are_logged_on_sigusr1_and_at_exit(self) -> None:
         process = self.start(json.dumps({"settings": SETTINGS, "known": {}}))
         assert process.stderr is not None
         self.assertIn("event=ready", process.stderr.readline())
@@ -788,7 +800,7 @@
         self.assertIn("event=counters", process.communicate(timeout=10)[1])
         self.assertEqual(process.returncode, 0)
 
-    def test_hup_does_not_end_it(self) -> None:
+    def test_sighup_rereads_the_configuration(self) -> None:
         process = self.start(json.dumps({"settings": SETTINGS, "known": {}}))
         assert process.stderr is not None
         self.assertIn("event=ready", process.stderr.readline())
@@ -798,21 +810,29 @@
         process.communicate(timeout=10)
         self.assertEqual(process.returncode, 0)
 
-    def test_a_bad_configuration_is_one_line_and_a_code(self) -> None:
-        wrong = '{"settings": {"services": 3}}'
-        deep = '{"settings": ' + "[" * 200_000
-        knowns = ('{"known": 3}', '{"known": {"rev": "x"}}', '{"known": {"notices": {}}}')
-        for config in ("{", "[]", wrong, *knowns, '{"seed": "x"}', '{"board": "x"}', deep):
+    def test_invalid_configuration_ends_with_one_line_and_exit_code_2(self) -> None:
+        invalid_settings = '{"settings": {"services": 3}}'
+        deeply_nested = '{"settings": ' + "[" * 200_000
+        invalid_known = ('{"known": 3}', '{"known": {"rev": "x"}}', '{"known": {"notices": {}}}')
+        for config in (
+            "{",
+            "[]",
+            invalid_settings,
+            *invalid_known,
+            '{"seed": "x"}',
+            '{"board": "x"}',
+            deeply_nested,
+        ):
             with self.subTest(config=config):
                 process = self.start(config)
                 text = process.communicate(timeout=10)[1]
                 self.assertEqual((process.returncode, text.count("\n")), (2, 1), text)
 
 
-class BadInput(unittest.TestCase):
-    """A 4xx and a close, never a silent drop."""
+class InvalidRequests(unittest.TestCase):
+    """Invalid requests get an error status and a close, never a silent drop."""
 
-    def test_each_gets_its_status(self) -> None:
+    def test_invalid_requests_get_their_status_and_a_close(self) -> None:
         get = f"GET {TILE} HTTP/1.1\\r\\nHost: x\\r\\n"
         put = f"PUT {ACK} HTTP/1.1\\r\\nHost: x\\r\\n"
         part = f"GET {TILE}?nth=65536 HTTP/1.1\\r\\nHost: x\\r\\n"
@@ -846,8 +866,8 @@
             with self.subTest(raw=raw):
                 Scenario().run(f"client a send raw '{raw}'\nclient a expect {status}\nclient a expect closed")
 
-    def test_an_open_id_stands_for_one_request(self) -> None:
-        """A cache would close the connection on a second want of that id, and others share it."""
+    def test_request_id_of_an_open_request_conflicts(self) -> None:
+        """A cache closes the connection on a second request with an open id, and others share it."""
         Scenario().run(f"""
             client a send GET {TILE} Req-Id:9b1f03aa5c7e2d41
             cache expect w
@@ -864,8 +884,8 @@
             cache expect u
         """)
 
-    def test_a_padded_length_is_the_length_it_names(self) -> None:
-        """Cut off after some digits it would be 0, and the body would be read as the next request."""
+    def test_content_length_with_leading_zeros_is_accepted(self) -> None:
+        """Cut after some digits, the length would be 0, and the body would be read as the next request."""
         head = f"PUT {ACK} HTTP/1.1\\r\\nHost: x\\r\\nReq-Id: 9b1f03aa5c7e2d41\\r\\nReq-Wait-Ms: 2000\\r\\n"
         Scenario().run(f"""
             client a send raw '{head}Content-Length: 0000000000000005\\r\\n\\r\\nhello'
@@ -879,17 +899,17 @@
     unittest.main()
 
 
-class InService(unittest.TestCase):
-    """The program as deploy/balancer.toml starts it."""
+class DeployedProcess(unittest.TestCase):
+    """The router as deploy/balancer.toml starts it."""
 
-    def test_run_is_one_process_without_a_child_or_a_unix_socket(self) -> None:
+    def test_deployed_command_runs_one_process_without_children_or_unix_sockets(self) -> None:
         root = Path(__file__).parents[1]
         line = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
         line = line.replace(".venv/bin/python", sys.executable)
         with tempfile.TemporaryDirectory() as folder, socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             file = Path(folder) / "config.json"
-            # A board that is there: a refused try may be logged, by its thread, before the start's line.
+            # Discovery listens, as a refused connection may be logged before the start's line.
             board = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(board.close)
             data = deployment.configuration({name: "127.0.0.1:1" for name in deployment.HOSTS}, at(board))
@@ -901,19 +921,25 @@
                 try:
                     assert run.stderr is not None
                     lines = iter(run.stderr.readline, b"")
-                    self.assertTrue(any(b"event=ready" in line for line in lines))  # behind those on the list
+                    self.assertTrue(
+                        any(b"event=ready" in line for line in lines)
+                    )  # after the lines on the member list
                     proc = Path(f"/proc/{run.pid}")
-                    self.assertIn(b"lupintack", (proc / "cmdline").read_bytes())  # the shell's own process
+                    self.assertIn(
+                        b"lupintack", (proc / "cmdline").read_bytes()
+                    )  # the shell has replaced itself by exec
                     children = [t.read_text() for t in proc.glob("task/*/children")]
                     self.assertEqual("".join(children).strip(), "")
-                    held = set()
+                    open_files = set()
                     for fd in (proc / "fd").iterdir():
                         try:
-                            held.add(os.readlink(fd))
-                        except FileNotFoundError:  # closed since the folder was read: a try at the board
+                            open_files.add(os.readlink(fd))
+                        except (
+                            FileNotFoundError
+                        ):  # closed since the folder was read, such as a connect to discovery
                             continue
                     kinds = {name: (proc / "net" / name).read_text() for name in ("unix", "tcp", "udp")}
-                    sockets = {fd[8:-1] for fd in held if fd.startswith("socket:")}
+                    sockets = {fd[8:-1] for fd in open_files if fd.startswith("socket:")}
                     self.assertTrue(sockets)
                     for inode in sockets:
                         self.assertNotIn(f" {inode}", kinds["unix"])
