--- a/lupintack/fronts/http1.py
+++ b/lupintack/fronts/http1.py
@@ -199,7 +199,7 @@
                 self.count("closed.emptied")
                 conn.expire()
 
-    def forget(self, conn: Http1Connection) -> None:
+    def remove_connection(self, conn: Http1Connection) -> None:
         """Remove a closed connection."""
         with self.lock:
             self.connections.discard(conn)
--- a/lupintack/fronts/http1_closing.py
+++ b/lupintack/fronts/http1_closing.py
@@ -22,11 +22,11 @@
 
 def linger(sock: socket.socket, is_expired: Callable[[], bool]) -> None:
     """Shut down writing after an error answer, and read until the client closes or `is_expired`."""
-    until_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
+    deadline_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
     try:
         sock.shutdown(socket.SHUT_WR)
-        while (left_us := until_us - now_us()) > 0 and not is_expired():
-            sock.settimeout(left_us / 1e6)
+        while (remaining_us := deadline_us - now_us()) > 0 and not is_expired():
+            sock.settimeout(remaining_us / 1e6)
             if not sockets.read(sock, READ_BYTES):
                 return
     except OSError:
@@ -38,12 +38,12 @@
 
     `closes_immediately`: returns True once the descriptor is needed; the wait then ends.
     """
-    began_us = now_us()
+    started_us = now_us()
     try:
         sock.shutdown(socket.SHUT_WR)
         sock.setblocking(False)
         while not client_liveness.has_closed(sock):
-            elapsed_us = now_us() - began_us
+            elapsed_us = now_us() - started_us
             if elapsed_us >= LINGER_TIMEOUT_S * 1e6:
                 return
             try:
--- a/lupintack/fronts/http1_connection.py
+++ b/lupintack/fronts/http1_connection.py
@@ -38,7 +38,7 @@
     bodyless: bool  # requests have no body
     closing: bool  # the connection is closed after each answer
 
-    def forget(self, conn: Http1Connection) -> None:
+    def remove_connection(self, conn: Http1Connection) -> None:
         """Remove a closed connection."""
 
 
@@ -61,9 +61,9 @@
     ) -> bool:
         """Write the answer; return False if the client has disconnected or was answered before."""
         close = close or self.request.close or self.conn.server.closing or self.conn.is_last
-        more = [("Connection", "close")] if close else []
+        close_headers = [("Connection", "close")] if close else []
         length = None if status in (204, 304) else len(body)
-        data = [encode_head(status, [*headers, *more], length)]
+        data = [encode_head(status, [*headers, *close_headers], length)]
         if len(body) and self.request.method != "HEAD" and length is not None:
             data.append(bytes(body) if len(body) < READ_BYTES else body)  # type: ignore[arg-type]
         return self.conn.reply(self, data, close)
@@ -186,10 +186,10 @@
             with self.lock:
                 if self.open_exchange is not exchange and not self.writing:
                     return not (self.closed or self.is_last)
-                polls = self.reading_ended or len(self.buffer) > 0
-                if polls:
+                must_poll = self.reading_ended or len(self.buffer) > 0
+                if must_poll:
                     self.answered.wait(DISCONNECT_POLL_S)
-            ended = (self.read_early() or exchange.is_disconnected()) if polls else not self.read_more()
+            ended = (self.read_early() or exchange.is_disconnected()) if must_poll else not self.read_more()
             if not ended:
                 continue
             with self.lock:
@@ -245,11 +245,11 @@
         del self.buffer[:length]
         return self.reads.consume(length)
 
-    def incomplete_request(self, where: str) -> HttpError:
-        """Return the error for an incomplete request; `where` names the part that is cut off."""
+    def incomplete_request(self, part: str) -> HttpError:
+        """Return the error for an incomplete request; `part`: the part that is cut off."""
         if self.expired:
-            return HttpError(408, f"the rest of the {where} does not come")
-        return HttpError(400, f"the request ends inside its {where}")
+            return HttpError(408, f"the rest of the {part} does not come")
+        return HttpError(400, f"the request ends inside its {part}")
 
     def idle_us(self, now: int) -> int:
         """Return how long no request has been open; -1 while one is open or the connection ends."""
@@ -374,4 +374,4 @@
             http1_closing.await_close(self.sock, lambda: self.closes_immediately)
         self.socket_closed, self.is_closing = True, False
         sockets.close(self.sock)
-        self.server.forget(self)
+        self.server.remove_connection(self)
--- a/lupintack/fronts/http2.py
+++ b/lupintack/fronts/http2.py
@@ -145,14 +145,14 @@
         except RuntimeError as error:
             LOG.error("can't start a thread for a client", extra=fields(reason=error))
             sock.close()
-            self.forget(conn)
+            self.remove_connection(conn)
 
     def explain(self) -> dict[str, int]:
         """Return the current numbers of connections, streams and bytes, for the log line of counters."""
         with self.lock:
             return self.stream_table.explain()
 
-    def forget(self, conn: Http2Connection) -> None:
+    def remove_connection(self, conn: Http2Connection) -> None:
         """Remove a closed connection."""
         with self.lock:
             self.connections.pop(conn.number, None)
@@ -191,13 +191,13 @@
         for number, stream, due in overdue:
             conn = conns.get(number)
             if conn is not None:
-                self.end(conn, stream, due)
+                self.end_overdue(conn, stream, due)
         for conn in conns.values():
             if self.draining:
                 conn.begin_drain()
             conn.check_drain(now)
 
-    def end(self, conn: Http2Connection, stream: int, due: Due) -> None:
+    def end_overdue(self, conn: Http2Connection, stream: int, due: Due) -> None:
         """End an overdue stream or connection."""
         self.count(f"http2.due.{due.name.lower()}")
         if due is Due.STALLED:
--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -53,7 +53,7 @@
     def call_later(self, call: Callable[[], None]) -> None:
         """Run a call in the next check; for callers under a lock that the call must not hold."""
 
-    def forget(self, conn: Http2Connection) -> None:
+    def remove_connection(self, conn: Http2Connection) -> None:
         """Remove a closed connection."""
 
 
@@ -122,7 +122,7 @@
         if is_http1:
             self.server.count("http2.alien")
             refuse_http1(self.sock)
-            self.server.forget(self)
+            self.server.remove_connection(self)
             return
         self.wire.run()
 
@@ -160,7 +160,7 @@
         if stated_length > server.max_body_bytes:
             self.answer_error(exchange, HttpError(413, "the body is too long"))
         elif request.headers.get("expect", "").lower() == "100-continue":
-            self.wire.inform(stream, [(b":status", b"100")])
+            self.wire.send_informational(stream, [(b":status", b"100")])
 
     def on_trailers(self, stream: int, headers: Sequence[Header]) -> None:
         """Ignore trailers; reset the stream if they contain a pseudo-field."""
@@ -301,7 +301,7 @@
         """Handle the end of the connection: notify all open exchanges of the disconnection."""
         with self.lock:
             open_exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
-        self.server.forget(self)
+        self.server.remove_connection(self)
         if not reason.startswith("closed"):
             self.server.count("http2.ended." + reason.partition(":")[0].replace(" ", "_"))
         for exchange in open_exchanges:
@@ -396,4 +396,4 @@
                 len(self.open_exchanges), self.wire.unwritten_bytes()
             ):
                 self.wire.finish("drained")
-            self.wire.tick(now)
+            self.wire.abort_if_lingering(now)
--- a/lupintack/fronts/http2_fields.py
+++ b/lupintack/fronts/http2_fields.py
@@ -103,13 +103,13 @@
     status: int, headers: Iterable[tuple[str, object]], length: int | None
 ) -> list[tuple[bytes, bytes]]:
     """Return the fields of a response; `length` is None if it has no body."""
-    out: list[tuple[bytes, bytes]] = [(b":status", b"%d" % status)]
+    fields: list[tuple[bytes, bytes]] = [(b":status", b"%d" % status)]
     for name, value in headers:
         key = name.lower()
         if key == "connection":
             continue
         pair = (key.encode("latin-1"), str(value).encode("latin-1", "replace"))
-        out.append(NeverIndexedHeaderTuple(*pair) if key in NEVER_INDEXED else pair)
+        fields.append(NeverIndexedHeaderTuple(*pair) if key in NEVER_INDEXED else pair)
     if length is not None:
-        out.append(NeverIndexedHeaderTuple(b"content-length", b"%d" % length))
-    return out
+        fields.append(NeverIndexedHeaderTuple(b"content-length", b"%d" % length))
+    return fields
--- a/lupintack/fronts/listener.py
+++ b/lupintack/fronts/listener.py
@@ -89,14 +89,14 @@
 
     Without retries, one transient failure would end a start, and no router would run until the next start.
     """
-    until = time.monotonic() + START_TIMEOUT_S
+    deadline = time.monotonic() + START_TIMEOUT_S
     tries = 1
     while True:
         try:
             result = call()
         except OSError as error:
             reason = error.strerror or str(error)
-            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= until:
+            if error.errno not in TRANSIENT_ERRORS or time.monotonic() >= deadline:
                 raise ListenError(f"can't listen at {address[0]}:{address[1]}: {reason}") from None
             if tries == 1:
                 LOG.warning("can't listen yet", extra=fields(address=address, reason=reason))
--- a/lupintack/fronts/platform.py
+++ b/lupintack/fronts/platform.py
@@ -78,7 +78,7 @@
                 raise HttpError(405, "GET is wanted")
             exchange.answer(200 if self.ready() else 503)
             return
-        client_request = self.read(exchange)
+        client_request = self.parse_request(exchange)
         exchange.on_disconnected = lambda: self.core.on_client_disconnected(client_request)
         self.core.submit(client_request)
 
@@ -86,7 +86,7 @@
         """Return the priority of a request's answer: writes (alert-ack) overtake reads."""
         return WRITE_PRIORITY if request.method == "PUT" else READ_PRIORITY
 
-    def read(self, exchange: Exchange) -> ClientRequest:
+    def parse_request(self, exchange: Exchange) -> ClientRequest:
         """Return the request as a message of the core; raise HttpError if a part is missing or invalid."""
         request, headers = exchange.request, exchange.request.headers
         target = platform_headers.match_target(request.target)
@@ -99,7 +99,7 @@
         wait_ms = platform_headers.parse_wait_ms(headers)
         part = platform_headers.parse_part(target["part"])
         if wait_ms == 0:
-            raise platform_headers.no_wait()
+            raise platform_headers.zero_wait()
         if request.body and not service_class.is_write:
             raise HttpError(400, "a body is for a class that writes")
         group = platform_headers.parse_group(headers)
--- a/lupintack/fronts/platform_headers.py
+++ b/lupintack/fronts/platform_headers.py
@@ -53,7 +53,7 @@
     return parse_number(headers.get("req-wait-ms", default), "Req-Wait-Ms", MAX_WAIT_MS)
 
 
-def no_wait() -> HttpError:
+def zero_wait() -> HttpError:
     """Return the error for a request with a wait of 0 ms."""
     return HttpError(400, "Req-Wait-Ms: nobody waits")
 
--- a/lupintack/http2/schedule.py
+++ b/lupintack/http2/schedule.py
@@ -29,7 +29,7 @@
     """Urgency of a stream (0 is most urgent), and whether it shares bandwidth with others of its level."""
 
     urgency: int = DEFAULT_URGENCY
-    shared: bool = True
+    incremental: bool = True
 
 
 def parse_priority(text: str, default: Priority) -> Priority:
@@ -40,14 +40,14 @@
     """
     if not text.strip():
         return default
-    urgency, shared = default.urgency, False
+    urgency, incremental = default.urgency, False
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name == "u" and URGENCY.fullmatch(value):
             urgency = int(value)
         elif name == "i" and value in ("", "?1", "?0"):
-            shared = value != "?0"
-    return Priority(urgency, shared)
+            incremental = value != "?0"
+    return Priority(urgency, incremental)
 
 
 @dataclass(slots=True, eq=False)
@@ -187,7 +187,7 @@
     def _enqueue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
         flow.deficit = 0
-        if flow.priority.shared:
+        if flow.priority.incremental:
             level.ring.append(flow)
             return
         if not level.queue:
@@ -200,7 +200,7 @@
 
     def _dequeue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
-        if flow.priority.shared:
+        if flow.priority.incremental:
             was_first = level.ring[0] is flow
             level.ring.remove(flow)
         else:
--- a/lupintack/http2/wire.py
+++ b/lupintack/http2/wire.py
@@ -248,7 +248,7 @@
             self.pump()
             return True
 
-    def inform(self, stream: int, headers: Sequence[Header]) -> None:
+    def send_informational(self, stream: int, headers: Sequence[Header]) -> None:
         """Send an interim response (1xx)."""
         with self.lock:
             if not self.ended:
@@ -329,7 +329,7 @@
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
-    def tick(self, now: int) -> None:
+    def abort_if_lingering(self, now: int) -> None:
         """Abort a connection whose peer has not closed within LINGER_TIMEOUT_S of this side's shutdown.
 
         Otherwise the reader would wait forever.
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -56,8 +56,8 @@
 
 def test_streams_without_incremental_are_written_one_after_another() -> None:
     schedule = Schedule()
-    schedule.add(5, 40_000, Priority(3, shared=False))
-    schedule.add(3, 40_000, Priority(3, shared=False))
+    schedule.add(5, 40_000, Priority(3, incremental=False))
+    schedule.add(3, 40_000, Priority(3, incremental=False))
     schedule.add(7, 40_000, Priority(3))
     order = [stream for stream, _ in write_all(schedule)]
     ends = {stream: len(order) - order[::-1].index(stream) for stream in (3, 5, 7)}
@@ -125,9 +125,9 @@
             unwritten[write[0]] -= write[1]
         return write
 
-    for step, stream, size, urgency, shared in steps:
+    for step, stream, size, urgency, incremental in steps:
         if step == "add":
-            schedule.add(stream, size, Priority(urgency, shared))
+            schedule.add(stream, size, Priority(urgency, incremental))
             unwritten[stream] += size
         elif step == "drop":
             assert schedule.drop(stream) == unwritten.pop(stream, 0)
