--- a/lupintack/fronts/http2_connection.py
+++ b/lupintack/fronts/http2_connection.py
@@ -109,7 +109,7 @@
         self.open_exchanges: dict[int, StreamExchange] = {}  # by stream; not answered yet
         self.half_open: set[int] = set()  # answered before the request was complete
         self.lock = threading.Lock()
-        self.last_stream = 0  # the stream that the last GOAWAY named
+        self.last_stream = 0  # the stream id in the last GOAWAY
         self.sock = sock
         self.wire = Wire(sock, server.wire_config, self, server.spawn)
 
--- a/tests/test_http2_many.py
+++ b/tests/test_http2_many.py
@@ -55,9 +55,9 @@
             if self.disconnects and n == self.streams // 2:
                 app.close()
                 return
-            while sum(not stream.over() for stream in app.streams.values()) > 40:
-                app.until(lambda: sum(not stream.over() for stream in app.streams.values()) <= 40)
-        app.until(lambda: all(stream.over() for stream in app.streams.values()))
+            while sum(not record.over() for record in app.streams.values()) > 40:
+                app.until(lambda: sum(not record.over() for record in app.streams.values()) <= 40)
+        app.until(lambda: all(record.over() for record in app.streams.values()))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -617,9 +617,8 @@
         original_write_remaining = conn.write_remaining
 
         def delayed_write_remaining(remaining: list[memoryview]) -> None:
-            busy_check.join(
-                5.0
-            )  # on a busy machine the answer may be complete before the check, which then returns False
+            # On a busy machine the answer may be complete before the check, which then returns False.
+            busy_check.join(5.0)
             original_write_remaining(remaining)
 
         conn.write_now = write_half  # type: ignore[method-assign]
@@ -921,13 +920,11 @@
                 try:
                     assert run.stderr is not None
                     lines = iter(run.stderr.readline, b"")
-                    self.assertTrue(
-                        any(b"event=ready" in line for line in lines)
-                    )  # after the lines on the member list
+                    # The lines on the member list precede this one.
+                    self.assertTrue(any(b"event=ready" in line for line in lines))
                     proc = Path(f"/proc/{run.pid}")
-                    self.assertIn(
-                        b"lupintack", (proc / "cmdline").read_bytes()
-                    )  # the shell has replaced itself by exec
+                    # The shell's own process: it has replaced itself by exec.
+                    self.assertIn(b"lupintack", (proc / "cmdline").read_bytes())
                     children = [t.read_text() for t in proc.glob("task/*/children")]
                     self.assertEqual("".join(children).strip(), "")
                     open_files = set()
--- a/tests/test_slow.py
+++ b/tests/test_slow.py
@@ -19,8 +19,8 @@
 
 @pytest.fixture
 def testbed() -> Iterator[Site]:
-    with site(Terms(sizes={**SIZES, "river-video": SIZE})) as testbed:
-        yield testbed
+    with site(Terms(sizes={**SIZES, "river-video": SIZE})) as running_site:
+        yield running_site
 
 
 def request(number: int, path: str, wait_ms: int = 300) -> bytes:
@@ -68,9 +68,8 @@
         thread.join()
     assert results == [True] * 30
     eventually(lambda: not testbed.node.http1.connections)
-    eventually(
-        lambda: threading.active_count() <= threads_before + 24
-    )  # connections to members stay open for a while
+    # Connections to members stay open for a while.
+    eventually(lambda: threading.active_count() <= threads_before + 24)
 
 
 @pytest.mark.parametrize("step", [1, 7])
