--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -474,9 +474,9 @@
     with site(window_shut_ms=300) as testbed:
         app = testbed.app(window=0, read=False)
         stream = app.ask("GET", VIDEO)
-        began = time.monotonic()
+        started = time.monotonic()
         while not app.streams[stream].over():
-            assert time.monotonic() - began < 5
+            assert time.monotonic() - started < 5
             app.session.increment_flow_control_window(1, stream)
             app.flush()
             try:
@@ -580,9 +580,9 @@
         idle = [connected_app(testbed) for _ in range(3)]
         with pytest.raises(TimeoutError):
             idle[0].until(lambda: False, 0.2)  # no eviction until a new connection needs the place
-        more = connected_app(testbed)
+        newcomer = connected_app(testbed)
         assert idle[0].end()[-1][1] == NO_ERROR
-        assert more.answer(more.ask("GET", TILE)).status == 200
+        assert newcomer.answer(newcomer.ask("GET", TILE)).status == 200
 
 
 # End of connections
@@ -710,10 +710,10 @@
         for n in range(60):
             app.ask("GET", f"{VIDEO}?nth={n}")
         eventually(lambda: testbed.asked("river-video") >= 30)
-        began = time.monotonic()
+        started = time.monotonic()
         testbed.stop()
         testbed.stopped(5.0)
-        assert time.monotonic() - began < 3.7, "the longest deadline, taken as 3 s, plus 0.7 s"
+        assert time.monotonic() - started < 3.7, "the longest deadline, taken as 3 s, plus 0.7 s"
 
 
 def test_connection_at_its_maximum_age_gets_a_goaway() -> None:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -931,10 +931,8 @@
                     for fd in (proc / "fd").iterdir():
                         try:
                             open_files.add(os.readlink(fd))
-                        except (
-                            FileNotFoundError
-                        ):  # closed since the folder was read, such as a connect to discovery
-                            continue
+                        except FileNotFoundError:
+                            continue  # closed since the folder was read, such as a connect to discovery
                     kinds = {name: (proc / "net" / name).read_text() for name in ("unix", "tcp", "udp")}
                     sockets = {fd[8:-1] for fd in open_files if fd.startswith("socket:")}
                     self.assertTrue(sockets)
