--- a/lupintack/fronts/http1_closing.py
+++ b/lupintack/fronts/http1_closing.py
@@ -1,7 +1,7 @@
-"""Ends of an HTTP/1.1 connection that lose no byte of its last answer.
+"""Closes an HTTP/1.1 connection without losing bytes of its last answer.
 
-A close over unread bytes resets the connection, and what the client has not read of the last answer goes with
-it: so the rest of what the client sends is read for a moment, and dropped.
+Closing a socket with unread bytes resets the connection, and the client loses the part of the last answer
+that it has not read. So bytes that the client still sends are read and dropped for a bounded time first.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 
 READ_BYTES = 65536
 LINGER_TIMEOUT_S = 1.5
-CLOSE_GRACE_S = 0.1  # by the protocol a request may cross this side's end for 50 ms
+CLOSE_GRACE_S = 0.1  # the platform's protocol lets a request cross this side's FIN for 50 ms
 POLL_INTERVAL_S = 0.01
 
 
 def linger(sock: socket.socket, is_expired: Callable[[], bool]) -> None:
-    """End this side after an error's answer, and read on until the client ends or `is_expired`."""
-    until_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
+    """Shut down writing after an error answer, and read until the client closes or `is_expired`."""
+    deadline_us = now_us() + int(LINGER_TIMEOUT_S * 1e6)
     try:
         sock.shutdown(socket.SHUT_WR)
-        while (left_us := until_us - now_us()) > 0 and not is_expired():
-            sock.settimeout(left_us / 1e6)
+        while (remaining_us := deadline_us - now_us()) > 0 and not is_expired():
+            sock.settimeout(remaining_us / 1e6)
             if not sockets.read(sock, READ_BYTES):
                 return
     except OSError:
         pass  # the connection has ended
 
 
-def await_close(sock: socket.socket, closes_at_once: Callable[[], bool]) -> None:
-    """End this side, and drop what crosses that, until the client has closed, too.
+def await_close(sock: socket.socket, closes_immediately: Callable[[], bool]) -> None:
+    """Shut down writing, and drop received bytes until the client has closed too.
 
-    `closes_at_once`: the descriptor is wanted, and nothing is waited for.
+    `closes_immediately`: returns True once the descriptor is needed; the wait then ends.
     """
-    began_us = now_us()
+    started_us = now_us()
     try:
         sock.shutdown(socket.SHUT_WR)
         sock.setblocking(False)
         while not client_liveness.has_closed(sock):
-            elapsed_us = now_us() - began_us
+            elapsed_us = now_us() - started_us
             if elapsed_us >= LINGER_TIMEOUT_S * 1e6:
                 return
             try:
@@ -52,7 +52,7 @@
             except BlockingIOError:
                 pass
             is_quiet = elapsed_us >= CLOSE_GRACE_S * 1e6 and not client_liveness.has_undelivered_data(sock)
-            if closes_at_once() or is_quiet:
+            if closes_immediately() or is_quiet:
                 return
             time.sleep(POLL_INTERVAL_S)
     except OSError:
--- a/lupintack/http2/schedule.py
+++ b/lupintack/http2/schedule.py
@@ -1,13 +1,14 @@
-"""Which stream writes next on a connection, and how much: deficit round robin that heeds RFC 9218. No I/O.
+"""Selects the next stream to write and the number of its bytes: deficit round robin with RFC 9218. No I/O.
 
-Streams stand in eight levels, by their urgency. A level may write its credit, which halves with each level
-below, and the most urgent level that has credit and something to write goes first; when none has credit left,
-all get theirs anew. An urgent stream so overtakes at its first byte, and still no level waits for good.
+Streams are grouped in eight levels by urgency. A level may write its credit, which halves with each less
+urgent level. The most urgent level with credit and something to write is served first; when none has credit
+left, the credit of all levels is renewed. So an urgent stream overtakes at its first byte, and no level
+starves.
 
-Within a level, streams take turns of `QUANTUM` bytes (Shreedhar and Varghese's deficit round robin: what a
-short write leaves of a turn is kept for the next). Streams whose client asked for them one after another
-(a priority field without `i`, RFC 9218 section 4.2) share one place in the ring, in the order of their ids.
-A stream that can't write for want of window leaves the ring until `allow` is called.
+Within a level, streams take turns of `QUANTUM` bytes (Shreedhar and Varghese's deficit round robin: the
+unused part of a turn is kept for the next). Streams whose client requests sequential delivery (a priority
+field without `i`, RFC 9218 section 4.2) share one place in the ring, in the order of their ids. A stream
+without window leaves the ring until `resume` is called.
 """
 
 from __future__ import annotations
@@ -18,40 +19,40 @@
 from dataclasses import dataclass, field
 
 LEVELS = 8
-QUANTUM = 16384  # one frame: a tile goes out whole
+QUANTUM = 16384  # one frame: a tile is written in one turn
 DEFAULT_URGENCY = 3  # RFC 9218, section 4.1
 URGENCY = re.compile(r"[0-7]")
 
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """How urgent a stream is (0 first), and whether it shares its turn with others."""
+    """Urgency of a stream (0 is most urgent), and whether it shares bandwidth with others of its level."""
 
     urgency: int = DEFAULT_URGENCY
-    shared: bool = True
+    incremental: bool = True
 
 
 def parse_priority(text: str, default: Priority) -> Priority:
-    """Return the priority of RFC 9218's field; a parameter that can't be read counts as absent.
+    """Return the priority in RFC 9218's field; an invalid parameter is ignored.
 
-    Where a client names none, its streams share their turns: section 4 leaves that to the server, and it is
-    fairer for bodies that are shown as they come.
+    Without a field, `default` applies. Streams share their turns by default: section 4 leaves that to the
+    server, and it is fairer for bodies that are displayed as they arrive.
     """
     if not text.strip():
         return default
-    urgency, shared = default.urgency, False
+    urgency, incremental = default.urgency, False
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name == "u" and URGENCY.fullmatch(value):
             urgency = int(value)
         elif name == "i" and value in ("", "?1", "?0"):
-            shared = value != "?0"
-    return Priority(urgency, shared)
+            incremental = value != "?0"
+    return Priority(urgency, incremental)
 
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """One stream's bytes that wait."""
+    """Unwritten bytes of one stream."""
 
     stream: int
     priority: Priority
@@ -62,20 +63,20 @@
 
 @dataclass(slots=True)
 class Level:
-    """Streams of one urgency: those that share, in a ring, and those that go one after another."""
+    """Streams of one urgency: those that share bandwidth in a ring, sequential ones in a queue."""
 
-    ring: deque[Flow | None] = field(default_factory=deque)  # None: the turn of `queue`
+    ring: deque[Flow | None] = field(default_factory=deque)  # None: the place of `queue`
     queue: list[Flow] = field(default_factory=list)
     credit: int = 0
-    deficit: int = 0  # of the queue's turn
-    fresh: bool = True  # the one at the front has not begun its turn
+    deficit: int = 0  # of the queue
+    turn_not_started: bool = True  # of the first in the ring
 
 
 class Schedule:
-    """The streams of one connection that have bytes to write."""
+    """Streams of one connection that have bytes to write."""
 
     def __init__(self, quantum: int = QUANTUM) -> None:
-        """`quantum`: bytes of a stream's turn."""
+        """`quantum`: bytes per turn of a stream."""
         self.quantum = quantum
         self.flows: dict[int, Flow] = {}
         self.levels = [Level() for _ in range(LEVELS)]
@@ -83,71 +84,71 @@
             level.credit = self._credit(urgency)
 
     def __len__(self) -> int:
-        """Return how many streams have bytes to write."""
+        """Return the number of streams that have bytes to write."""
         return len(self.flows)
 
     def _credit(self, urgency: int) -> int:
         return self.quantum << (LEVELS - 1 - urgency)
 
     def unwritten_bytes(self, stream: int) -> int:
-        """Return how many of its bytes a stream still has to write."""
+        """Return the number of unwritten bytes of a stream."""
         flow = self.flows.get(stream)
         return flow.unwritten_bytes if flow is not None else 0
 
     def add(self, stream: int, size: int, priority: Priority = Priority()) -> None:  # noqa: B008 - it is frozen
-        """Add bytes to write, to a stream that is known or a new one."""
+        """Add bytes to a stream; a new stream is added with its priority."""
         flow = self.flows.get(stream)
         if flow is not None:
             flow.unwritten_bytes += size
             return
         if size > 0:
             flow = self.flows[stream] = Flow(stream, priority, size)
-            self._enter(flow)
+            self._enqueue(flow)
 
     def drop(self, stream: int) -> int:
-        """Forget a stream; return how many bytes it had left."""
+        """Remove a stream; return the number of its unwritten bytes."""
         flow = self.flows.pop(stream, None)
         if flow is None:
             return 0
         if flow.ready:
-            self._leave(flow)
+            self._dequeue(flow)
         return flow.unwritten_bytes
 
-    def allow(self, stream: int) -> bool:
-        """Note that a stream has window again; return whether it had none."""
+    def resume(self, stream: int) -> bool:
+        """Schedule a stream that has window again; return whether it had none."""
         flow = self.flows.get(stream)
         if flow is None or flow.ready:
             return False
         flow.ready = True
-        self._enter(flow)
+        self._enqueue(flow)
         return True
 
-    def allow_all(self) -> list[int]:
-        """Note that all streams may have window again; return those that had none."""
-        return [stream for stream in list(self.flows) if self.allow(stream)]
+    def resume_all(self) -> list[int]:
+        """Schedule all streams, as they may have window again; return those that had none."""
+        return [stream for stream in list(self.flows) if self.resume(stream)]
 
     def take(self, max_bytes: int, window: Callable[[int], int]) -> tuple[int, int] | None:
-        """Return the next stream and how many of its bytes it writes now; None where none can.
+        """Return the next stream and the number of bytes it writes now; None if no stream can write.
 
-        At most `max_bytes`. `window` returns what a stream may write; one that may write nothing waits for
-        `allow`.
+        The number is at most `max_bytes`. `window` returns the window of a stream; a stream without window
+        waits for `resume`.
         """
         if max_bytes <= 0:
             return None
         while True:
-            level = self._level()
+            level = self._select_level()
             if level is None:
                 return None
-            flow, is_queue = self._front(level)
-            if level.fresh:
-                level.fresh = False
+            flow, is_queue = self._first_flow(level)
+            if level.turn_not_started:
+                level.turn_not_started = False
                 if is_queue:
                     level.deficit += self.quantum
                 else:
                     flow.deficit += self.quantum
             window_bytes = window(flow.stream)
             if window_bytes <= 0:
-                self._leave(flow)
+                self._dequeue(flow)
                 flow.ready = False
                 continue
             credit = level.deficit if is_queue else flow.deficit
@@ -160,14 +161,14 @@
                 flow.deficit -= count
             if not flow.unwritten_bytes:
                 del self.flows[flow.stream]
-                self._leave(flow)
-            if count == credit and not level.fresh:
+                self._dequeue(flow)
+            if count == credit and not level.turn_not_started:
                 level.ring.rotate(-1)  # its turn is over
-                level.fresh = True
+                level.turn_not_started = True
             return flow.stream, count
 
-    def _level(self) -> Level | None:
-        """The most urgent level with something to write and credit; all get credit where none has."""
+    def _select_level(self) -> Level | None:
+        """Return the most urgent level with bytes and credit; renew all credit if no such level has any."""
         first = None
         for level in self.levels:
             if level.ring:
@@ -179,41 +180,41 @@
                 level.credit = self._credit(urgency)
         return first
 
-    def _front(self, level: Level) -> tuple[Flow, bool]:
+    def _first_flow(self, level: Level) -> tuple[Flow, bool]:
         flow = level.ring[0]
         return (level.queue[0], True) if flow is None else (flow, False)
 
-    def _enter(self, flow: Flow) -> None:
+    def _enqueue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
         flow.deficit = 0
-        if flow.priority.shared:
+        if flow.priority.incremental:
             level.ring.append(flow)
             return
         if not level.queue:
             level.ring.append(None)
             level.deficit = 0
-        at = len(level.queue)
-        while at and level.queue[at - 1].stream > flow.stream:
-            at -= 1
-        level.queue.insert(at, flow)
+        position = len(level.queue)
+        while position and level.queue[position - 1].stream > flow.stream:
+            position -= 1
+        level.queue.insert(position, flow)
 
-    def _leave(self, flow: Flow) -> None:
+    def _dequeue(self, flow: Flow) -> None:
         level = self.levels[flow.priority.urgency]
-        if flow.priority.shared:
-            front = level.ring[0] is flow
+        if flow.priority.incremental:
+            was_first = level.ring[0] is flow
             level.ring.remove(flow)
         else:
             level.queue.remove(flow)
             if level.queue:
                 return
-            front = level.ring[0] is None
+            was_first = level.ring[0] is None
             level.ring.remove(None)
-        if front:
-            level.fresh = True
+        if was_first:
+            level.turn_not_started = True
 
 
 class Fifo(Schedule):
-    """The baseline of the measurements: streams in the order in which they came, each to its end."""
+    """Baseline for benchmarks: writes streams in the order of arrival, each to its end."""
 
     def take(self, max_bytes: int, window: Callable[[int], int]) -> tuple[int, int] | None:
         """Return the first stream that can write, and how many bytes."""
@@ -226,8 +227,8 @@
                 return flow.stream, count
         return None
 
-    def _enter(self, flow: Flow) -> None:
-        """There are no turns."""
+    def _enqueue(self, flow: Flow) -> None:
+        """Do nothing: there are no turns."""
 
-    def _leave(self, flow: Flow) -> None:
-        """There are no turns."""
+    def _dequeue(self, flow: Flow) -> None:
+        """Do nothing: there are no turns."""
