--- a/lupintack/scale/coordinator.py
+++ b/lupintack/scale/coordinator.py
@@ -22,20 +22,20 @@
 from lupintack.clock import now_us
 from lupintack.scale import hollow_messages as messages
 from lupintack.scale.hollow_plan import FleetSize, plan_budgets, plan_regions, plan_routers, plan_voters
-from lupintack.scale.report import CutTime, DownKind, Downtime, History, result_line
+from lupintack.scale.report import CutTime, Downtime, DowntimeKind, History, result_line
 from lupintack.scale.resources import Processes
 from lupintack.scale.script import Fault, FaultKind, Script, select
 from lupintack.standins import deployment
 from lupintack.standins.net import free_ports
 
-MODULES = "lupintack.scale"
+PACKAGE = "lupintack.scale"
 SECOND_US = 1_000_000
 DAY_S = 86_400
-SAMPLE_US = 1_000_000  # between two looks at the memory of all processes
-MIN_SETTLE_S = 90.0  # for all to join and agree before the measurement
-SETTLE_PER_ROUTER_S = 0.15
-FINISH_S = 120.0  # for all processes to tell what they measured
-END_S = 5.0  # for a process to end by itself
+SAMPLE_INTERVAL_US = 1_000_000  # between two looks at the memory of all processes
+SETTLE_TIMEOUT_S = 90.0  # for all to join and agree before the measurement
+SETTLE_TIMEOUT_PER_ROUTER_S = 0.15
+FINISH_TIMEOUT_S = 120.0  # for all processes to tell what they measured
+STOP_TIMEOUT_S = 5.0  # for a process to end by itself
 CACHES = 630
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -73,7 +73,7 @@
         self.finished = False  # it has told what it measured
         with log.open("wb") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", f"{MODULES}.{module}"],
+                [sys.executable, "-m", f"{PACKAGE}.{module}"],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=errors,
@@ -85,17 +85,17 @@
         """A frame to it; RunError where it has ended."""
         assert self.process.stdin is not None
         try:
-            self.process.stdin.write(messages.frame(message))
+            self.process.stdin.write(messages.encode_frame(message))
             self.process.stdin.flush()
         except (OSError, ValueError):
-            raise RunError(f"a process has ended: {self.last_words()}") from None
+            raise RunError(f"a process has ended: {self.last_error_line()}") from None
 
-    def last_words(self) -> str:
+    def last_error_line(self) -> str:
         """The last line of its errors."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else "without a word"
 
-    def end(self, until: float) -> None:
+    def stop(self, until: float) -> None:
         """Its input ends; by that time (time.monotonic) it has ended, or is killed by its pid."""
         assert self.process.stdin is not None
         try:
@@ -112,7 +112,7 @@
         assert self.process.stdout is not None
         pipe: Any = self.process.stdout
         while (raw := messages.read_frame(pipe)) is not None:
-            self.replies.put((self, messages.replies.decode(raw)))
+            self.replies.put((self, messages.reply_decoder.decode(raw)))
         self.replies.put((self, None))
 
 
@@ -135,13 +135,13 @@
         self.discovery: list[Child] = []
         self.addresses: dict[int, str] = {}  # of discovery processes, by their place
         self.real: list[Child] = []
-        self.owner: dict[str, Child] = {}
+        self.owners: dict[str, Child] = {}
         self.finished: list[messages.Finished] = []
         self.history = History()
-        self.agenda: list[tuple[int, int, Callable[[], None]]] = []
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []
         self.counter = 0
-        self.cut_numbers: list[int] = []
-        self.published = 0
+        self.cut_ids: list[int] = []
+        self.change_count = 0
         self.settings_file = self.tmp / "settings.json"
 
     def run(self) -> dict[str, Any]:
@@ -149,8 +149,8 @@
         options, processes = self.options, self.options.processes
         self.start_processes()
         self.settle()
-        self.begin()
-        self.play()
+        self.start_measurement()
+        self.run_timers()
         self.finish()
         return result_line(
             options.size,
@@ -164,7 +164,7 @@
 
     def close(self) -> None:
         """End every process that this run has started."""
-        until = time.monotonic() + END_S
+        until = time.monotonic() + STOP_TIMEOUT_S
         children = [*self.hollow, *self.discovery, *self.real]
         for child in children:
             if child.process.stdin is not None and not child.process.stdin.closed:
@@ -173,7 +173,7 @@
                 except OSError:
                     pass
         for child in children:
-            child.end(until)
+            child.stop(until)
         shutil.rmtree(self.tmp, ignore_errors=True)
 
     # The start
@@ -182,14 +182,14 @@
         """Discovery, hollow routers and real ones; the hollow ones wait for `settle`."""
         processes = self.options.processes
         self.discovery = [self._child("hollow_discovery_process", n) for n in range(processes.discovery)]
-        self.wait(lambda: len(self.addresses) == len(self.discovery), MIN_SETTLE_S, "discovery to listen")
+        self.wait(lambda: len(self.addresses) == len(self.discovery), SETTLE_TIMEOUT_S, "discovery to listen")
         addresses = tuple(self.addresses[n] for n in range(len(self.discovery)))
         self._write_settings(0)
         self.hollow = [self._child("hollow_process", n) for n in range(processes.hollow)]
         for number, child in enumerate(self.hollow):
-            mine = tuple(one.name for one in self.routers[number :: len(self.hollow)])
-            self.owner |= dict.fromkeys(mine, child)
-            child.send(self._setup(mine, addresses))
+            assigned = tuple(router.name for router in self.routers[number :: len(self.hollow)])
+            self.owners |= dict.fromkeys(assigned, child)
+            child.send(self._setup(assigned, addresses))
         if processes.real:
             self.real = [self._child("hollow_real_process", 0)]
             self.real[0].send(self._setup(tuple(f"real{n}" for n in range(processes.real)), addresses))
@@ -197,10 +197,10 @@
     def _child(self, module: str, number: int) -> Child:
         return Child(module, self.tmp / f"{module}-{number}.log", self.replies)
 
-    def _setup(self, mine: tuple[str, ...], addresses: tuple[str, ...]) -> messages.Setup:
+    def _setup(self, assigned: tuple[str, ...], addresses: tuple[str, ...]) -> messages.Setup:
         return messages.Setup(
-            self.options.seed, f"scale-{self.options.seed}", self.secret, self.routers, mine,
-            tuple(one.name for one in self.voters), self.budgets, addresses, str(self.tmp),
+            self.options.seed, f"scale-{self.options.seed}", self.secret, self.routers, assigned,
+            tuple(router.name for router in self.voters), self.budgets, addresses, str(self.tmp),
             str(self.settings_file), self.regions,
         )  # fmt: skip
 
@@ -210,55 +210,55 @@
         for number, router in enumerate(self.routers):
             due_us = began + round(number * SECOND_US / self.options.starts_per_s)
             while (left_us := due_us - now_us()) > 0:
-                self._hear(left_us / SECOND_US)
-            self.owner[router.name].send(messages.Start((router.name,)))
-        patience = MIN_SETTLE_S + SETTLE_PER_ROUTER_S * len(self.routers)
+                self._handle_reply(left_us / SECOND_US)
+            self.owners[router.name].send(messages.Start((router.name,)))
+        timeout_s = SETTLE_TIMEOUT_S + SETTLE_TIMEOUT_PER_ROUTER_S * len(self.routers)
         try:
-            self.wait(self.agreed, patience, "the routers to agree")
+            self.wait(self.has_converged, timeout_s, "the routers to agree")
             self.history.settled = True
         except TimeoutError:
             pass  # told in the line: such a run counts as overloaded
         self.history.settle_s = (now_us() - began) / 1e6
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all routers run, count one another, and know who allocates."""
         count = len(self.routers)
-        told = [child.status for child in self.hollow if child.status is not None]
-        if len(told) < len(self.hollow) or sum(one.joined for one in told) < count:
+        statuses = [child.status for child in self.hollow if child.status is not None]
+        if len(statuses) < len(self.hollow) or sum(s.joined for s in statuses) < count:
             return False
         members = count + self.options.processes.real
-        counted = {one.least_members for one in told} | {one.most_members for one in told}
-        views = {view for one in told for view in one.views}
-        watching = sum(one.watching for one in told)
-        allocating = any(one.allocators for one in told)
-        allocating = allocating and sum(one.region_allocators for one in told) >= len(self.regions)
-        return counted == {members} and len(views) == 1 and watching == count and allocating
+        member_counts = {s.min_members for s in statuses} | {s.max_members for s in statuses}
+        views = {view for s in statuses for view in s.views}
+        watching = sum(s.watching for s in statuses)
+        has_allocators = any(s.allocators for s in statuses)
+        has_allocators = has_allocators and sum(s.region_allocators for s in statuses) >= len(self.regions)
+        return member_counts == {members} and len(views) == 1 and watching == count and has_allocators
 
     # The measurement
 
-    def begin(self) -> None:
+    def start_measurement(self) -> None:
         """The measurement begins: counters from zero, and an agenda of all that is to be sent and done."""
         self.history.began_us = now_us()
         for child in self.hollow:
-            child.send(messages.Mark())
+            child.send(messages.StartMeasurement())
         self.discovery_cpu = [cpu_s(child.process.pid) for child in self.discovery]
         for fault in self.options.script.fault:
-            self._at(fault.at_s, lambda fault=fault: self.inject_fault(fault))  # type: ignore[misc]
-        self._repeat(SAMPLE_US, self._sample)
+            self._call_at(fault.at_s, lambda fault=fault: self.inject_fault(fault))  # type: ignore[misc]
+        self._call_repeatedly(SAMPLE_INTERVAL_US, self._sample)
         if self.options.purges_per_s > 0:
-            self._repeat(round(SECOND_US / self.options.purges_per_s), self._purge)
+            self._call_repeatedly(round(SECOND_US / self.options.purges_per_s), self._purge)
         if self.options.changes_per_day > 0:
-            self._repeat(round(SECOND_US * DAY_S / self.options.changes_per_day), self._change)
+            self._call_repeatedly(round(SECOND_US * DAY_S / self.options.changes_per_day), self._change)
 
-    def play(self) -> None:
+    def run_timers(self) -> None:
         """Do what the agenda says until the run's time is over."""
-        end = self.history.began_us + round(self.options.seconds * SECOND_US)
-        while (now := now_us()) < end:
-            if self.agenda and self.agenda[0][0] <= now:
-                heapq.heappop(self.agenda)[2]()
+        end_us = self.history.began_us + round(self.options.seconds * SECOND_US)
+        while (now := now_us()) < end_us:
+            if self.timers and self.timers[0][0] <= now:
+                heapq.heappop(self.timers)[2]()
                 continue
-            due = min(end, self.agenda[0][0]) if self.agenda else end
-            self._hear((due - now) / 1e6)
+            wake_at = min(end_us, self.timers[0][0]) if self.timers else end_us
+            self._handle_reply((wake_at - now) / 1e6)
 
     def finish(self) -> None:
         """The measurement ends; RunError where a process does not tell its figures."""
@@ -271,25 +271,25 @@
             child.send(messages.Finish())
         try:
             self.wait(
-                lambda: len(self.finished) == len(self.hollow), FINISH_S, "the figures of all processes"
+                lambda: len(self.finished) == len(self.hollow), FINISH_TIMEOUT_S, "results of all processes"
             )
         except TimeoutError as error:
             raise RunError(str(error)) from None
 
-    def _at(self, after_s: float, what: Callable[[], None]) -> None:
+    def _call_at(self, after_s: float, action: Callable[[], None]) -> None:
         """Do this so long after the measurement began."""
         self.counter += 1
         at = self.history.began_us + round(after_s * SECOND_US)
-        heapq.heappush(self.agenda, (at, self.counter, what))
+        heapq.heappush(self.timers, (at, self.counter, action))
 
-    def _repeat(self, interval_us: int, what: Callable[[], None], number: int = 1) -> None:
+    def _call_repeatedly(self, interval_us: int, action: Callable[[], None], number: int = 1) -> None:
         """Do this again and again; the times don't shift when one is late."""
 
-        def once() -> None:
-            what()
-            self._repeat(interval_us, what, number + 1)
+        def run_once() -> None:
+            action()
+            self._call_repeatedly(interval_us, action, number + 1)
 
-        self._at(number * interval_us / SECOND_US, once)
+        self._call_at(number * interval_us / SECOND_US, run_once)
 
     # What the fleet hears
 
@@ -304,51 +304,51 @@
 
     def _change(self) -> None:
         """In turn a change of the list, by discovery, and one of the settings, by their file."""
-        self.published += 1
-        if self.published % 2:
+        self.change_count += 1
+        if self.change_count % 2:
             host = f"c{self.random.randrange(CACHES):03d}"
-            told = deployment.line(host, "127.0.0.1:9") | {"born_ms": time.time() * 1000}
-            self._publish({"pool": {"whole": False, "seq": self.published, "hosts": [told]}})
+            host_line = deployment.line(host, "127.0.0.1:9") | {"born_ms": time.time() * 1000}
+            self._publish({"pool": {"whole": False, "seq": self.change_count, "hosts": [host_line]}})
             return
-        self._write_settings(self.published)
+        self._write_settings(self.change_count)
         written = time.time() * 1000
         for child in self.hollow:
             child.send(messages.ChangeSettings(written))
 
     def _write_settings(self, revision: int) -> None:
         """A platform configuration with all caches; each revision has another bound."""
-        dials = {f"c{number:03d}": "127.0.0.1:9" for number in range(CACHES)}
-        told = deployment.configuration(dials, "127.0.0.1:9", revision=revision)
-        fresh = self.settings_file.with_suffix(".new")
-        fresh.write_text(json.dumps(told))
-        fresh.replace(self.settings_file)
+        addresses = {f"c{number:03d}": "127.0.0.1:9" for number in range(CACHES)}
+        configuration = deployment.configuration(addresses, "127.0.0.1:9", revision=revision)
+        temporary_file = self.settings_file.with_suffix(".new")
+        temporary_file.write_text(json.dumps(configuration))
+        temporary_file.replace(self.settings_file)
 
     # The script
 
     def inject_fault(self, fault: Fault) -> None:
         """One fault begins; its end is put on the agenda."""
-        voters = [one.name for one in self.voters]
+        voters = [router.name for router in self.voters]
         names = select(fault.who, self.routers, voters, self.allocators, self.random)
         since_s = (now_us() - self.history.began_us) / 1e6
         match fault.kind:
             case FaultKind.KILL | FaultKind.RESTART:
-                self._each(names, messages.Kill)
+                self._send_each(names, messages.Kill)
             case FaultKind.LEAVE:
-                self._each(names, messages.Leave)
+                self._send_each(names, messages.Leave)
             case FaultKind.PAUSE:
-                self._each(names, messages.Pause)
+                self._send_each(names, messages.Pause)
             case FaultKind.CUT:
                 self._cut(names, fault, since_s)
                 return
         if fault.for_s > 0 or fault.kind is FaultKind.RESTART:
             after = messages.Resume if fault.kind is FaultKind.PAUSE else messages.Start
-            self._at(since_s + fault.for_s, lambda: self._each(names, after))
+            self._call_at(since_s + fault.for_s, lambda: self._send_each(names, after))
 
     def _cut(self, names: tuple[str, ...], fault: Fault, since_s: float) -> None:
         self.counter += 1
         number, cut = self.counter, CutTime(frozenset(names), now_us())
         self.history.cuts.append(cut)
-        self.cut_numbers.append(number)
+        self.cut_ids.append(number)
         for child in self.hollow:
             child.send(messages.Cut(number, names, fault.discovery))
 
@@ -358,15 +358,15 @@
                 child.send(messages.Heal(number))
 
         if fault.for_s > 0:
-            self._at(since_s + fault.for_s, heal)
+            self._call_at(since_s + fault.for_s, heal)
 
-    def _each(self, names: Iterable[str], kind: Callable[[tuple[str, ...]], messages.Command]) -> None:
+    def _send_each(self, names: Iterable[str], kind: Callable[[tuple[str, ...]], messages.Command]) -> None:
         """A command about these routers, to the processes that drive them."""
-        wanted = set(names)
+        selected = set(names)
         for child in self.hollow:
-            mine = tuple(name for name, owner in self.owner.items() if owner is child and name in wanted)
-            if mine:
-                child.send(kind(mine))
+            assigned = tuple(n for n, owner in self.owners.items() if owner is child and n in selected)
+            if assigned:
+                child.send(kind(assigned))
 
     @property
     def removals(self) -> int:
@@ -380,16 +380,16 @@
 
     # What the processes say
 
-    def wait(self, done: Callable[[], bool], patience_s: float, text: str) -> None:
+    def wait(self, done: Callable[[], bool], timeout_s: float, text: str) -> None:
         """Until this holds; TimeoutError where it does not in that time."""
-        until = now_us() + round(patience_s * SECOND_US)
+        until = now_us() + round(timeout_s * SECOND_US)
         while not done():
             left = until - now_us()
             if left <= 0:
-                raise TimeoutError(f"waited {patience_s:.0f} s for {text}")
-            self._hear(min(left / 1e6, 0.5))
+                raise TimeoutError(f"waited {timeout_s:.0f} s for {text}")
+            self._handle_reply(min(left / 1e6, 0.5))
 
-    def _hear(self, timeout_s: float) -> None:
+    def _handle_reply(self, timeout_s: float) -> None:
         """One reply, or the time's end."""
         try:
             child, reply = self.replies.get(timeout=max(0.0, timeout_s))
@@ -398,7 +398,7 @@
         match reply:
             case None:
                 if not child.finished:
-                    raise RunError(f"a process has ended: {child.last_words()}")
+                    raise RunError(f"a process has ended: {child.last_error_line()}")
             case messages.Address(address):
                 self.addresses[self.discovery.index(child)] = address
             case messages.Status():
@@ -406,26 +406,26 @@
             case messages.Finished():
                 self.finished.append(reply)
                 child.finished = True
-            case messages.Happened(kind, name, at_us):
-                self._happened(kind, name, at_us)
+            case messages.LifecycleEvent(kind, name, at_us):
+                self._record_lifecycle_event(kind, name, at_us)
 
-    def _happened(self, kind: str, name: str, at_us: int) -> None:
-        open_one = self.history.open_downtime(name)
+    def _record_lifecycle_event(self, kind: str, name: str, at_us: int) -> None:
+        downtime = self.history.open_downtime(name)
         if kind in ("start", "resume"):
-            if open_one is not None:
-                open_one.until_us = at_us
+            if downtime is not None:
+                downtime.until_us = at_us
             return
-        if open_one is not None:
-            if open_one.kind is not DownKind.PAUSED:
+        if downtime is not None:
+            if downtime.kind is not DowntimeKind.PAUSED:
                 return  # it has left, and its process ends
-            open_one.until_us = at_us
-        self.history.downtimes.append(Downtime(name, DownKind(kind), at_us))
+            downtime.until_us = at_us
+        self.history.downtimes.append(Downtime(name, DowntimeKind(kind), at_us))
 
     def _sample(self) -> None:
         children = [*self.hollow, *self.discovery, *self.real]
         pids = [os.getpid(), *(child.process.pid for child in children)]
         pids += [pid for child in self.real for pid in children_of(child.process.pid)]
-        self.history.rss_most_bytes = max(self.history.rss_most_bytes, sum(map(rss_bytes, pids)))
+        self.history.max_rss_bytes = max(self.history.max_rss_bytes, sum(map(rss_bytes, pids)))
 
 
 def rss_bytes(pid: int) -> int:
--- a/lupintack/scale/hollow_demand.py
+++ b/lupintack/scale/hollow_demand.py
@@ -7,8 +7,8 @@
 
 from lupintack.scale.hollow_plan import BudgetPlan
 
-REDRAWN_US = 5_000_000
-EAGER = 2.5  # times an equal share, at most: on average a little more is wanted than there is
+REDRAW_INTERVAL_US = 5_000_000
+MAX_SHARE_FACTOR = 2.5  # times an equal share, at most: on average a little more is wanted than there is
 
 
 class Demand:
@@ -17,18 +17,18 @@
     def __init__(self, budgets: Sequence[BudgetPlan], routers: int, site: str, random: Random) -> None:
         """`routers`: of the whole fleet, among which budgets without a site are wanted."""
         self.budgets, self.routers, self.site, self.random = tuple(budgets), routers, site, random
-        self.drawn: tuple[int, ...] = ()
-        self.until_us = 0
+        self.units: tuple[int, ...] = ()
+        self.redraw_us = 0
 
     def draw(self, now: int) -> tuple[int, ...]:
         """Units wanted of each budget at this moment."""
-        if now >= self.until_us:
-            self.until_us = now + int(REDRAWN_US * (0.5 + self.random.random()))
-            self.drawn = tuple(self._one(budget) for budget in self.budgets)
-        return self.drawn
+        if now >= self.redraw_us:
+            self.redraw_us = now + int(REDRAW_INTERVAL_US * (0.5 + self.random.random()))
+            self.units = tuple(self._draw_budget(budget) for budget in self.budgets)
+        return self.units
 
-    def _one(self, budget: BudgetPlan) -> int:
+    def _draw_budget(self, budget: BudgetPlan) -> int:
         if budget.site and budget.site != self.site:
             return 0
-        share = budget.whole if budget.site else budget.whole / self.routers
-        return min(budget.whole, round(share * EAGER * self.random.random()))
+        share = budget.total if budget.site else budget.total / self.routers
+        return min(budget.total, round(share * MAX_SHARE_FACTOR * self.random.random()))
--- a/lupintack/scale/hollow_discovery.py
+++ b/lupintack/scale/hollow_discovery.py
@@ -20,7 +20,7 @@
 
 READ_BYTES = 65_536
 CONNECT_US = int(CONNECT_TIMEOUT_S * 1e6)
-PURGES_MATTER_MS = 6_000.0  # as in the settings of the platform's days
+PURGE_SETTLE_MS = 6_000.0  # as in the settings of the platform's days
 
 
 class DiscoveryConnection:
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        told: str,
+        discovery_address: str,
         names: Names,
         seed: int,
         selector: selectors.BaseSelector,
@@ -37,15 +37,15 @@
         reachable: Callable[[], bool],
     ) -> None:
         """`told`: host:port; `on_ready`: registered with the selector; `on_change`: as MemberTable.tell."""
-        self.member_table = MemberTable(PURGES_MATTER_MS)
+        self.member_table = MemberTable(PURGE_SETTLE_MS)
         self.member_table.notify = on_change
-        self.client = DiscoveryClient(address(told, "discovery"), names, self.member_table, seed)
+        self.client = DiscoveryClient(address(discovery_address, "discovery"), names, self.member_table, seed)
         self.selector, self.on_ready, self.reachable = selector, on_ready, reachable
         self.sock: socket.socket | None = None
         self.lines: LineBuffer | None = None
         self.connect_until_us = 0
-        self.again_us = 0
-        self.told_us = 0  # the member table's last sign of life when this connection began
+        self.reconnect_us = 0
+        self.initial_notified_us = 0  # the member table's last sign of life when this connection began
         self.bytes_in = self.bytes_out = 0
 
     @property
@@ -53,7 +53,7 @@
         """When something is due though the socket isn't ready."""
         if self.lines is not None:
             return self.lines.deadline_us
-        return self.connect_until_us if self.sock is not None else self.again_us
+        return self.connect_until_us if self.sock is not None else self.reconnect_us
 
     def on_wake(self, now: int) -> None:
         """Connect, or give up a connection that told nothing in its time."""
@@ -62,89 +62,89 @@
         if self.sock is None:
             self._connect(now)
         else:
-            self._lost(now)
+            self._on_connection_lost(now)
 
     def on_readable(self) -> None:
         """The socket is connected, or has bytes, or has ended."""
         if not self.reachable():
-            self._mute()
+            self._unregister()
             return
         now = now_us()
         try:
             if self.sock is not None and self.lines is None:
-                self._connected(self.sock, now)
+                self._on_connected(self.sock, now)
             elif self.sock is not None and self.lines is not None:
                 self._read(self.sock, self.lines)
         except BlockingIOError:
             return
         except (OSError, ValueError):
-            self._lost(now)
+            self._on_connection_lost(now)
 
-    def on_cut(self) -> None:
+    def on_reachability_change(self) -> None:
         """Reachable again or no longer: a muted connection is looked at once more."""
         if self.sock is not None and self.reachable():
-            self._watch(selectors.EVENT_READ if self.lines is not None else selectors.EVENT_WRITE)
+            self._register(selectors.EVENT_READ if self.lines is not None else selectors.EVENT_WRITE)
 
     def pause(self) -> None:
         """Read nothing until `resume`."""
-        self._mute()
+        self._unregister()
 
     def resume(self) -> None:
         """Read again."""
-        self.on_cut()
+        self.on_reachability_change()
 
     def close(self) -> None:
         """End the connection."""
         if self.sock is not None:
-            self._mute()
+            self._unregister()
             self.sock.close()
         self.sock = self.lines = None
 
     def _connect(self, now: int) -> None:
         assert self.client.address is not None
-        self.told_us = self.member_table.notified_us
+        self.initial_notified_us = self.member_table.notified_us
         self.connect_until_us = now + CONNECT_US
         sock = socket.socket()
         sock.setblocking(False)
         self.sock = sock
         if not self.reachable():
             return  # as if its first packet were lost: it is given up in its time
-        code = sock.connect_ex(self.client.address)
-        if code not in (0, errno.EINPROGRESS):
-            self._lost(now)
+        error_code = sock.connect_ex(self.client.address)
+        if error_code not in (0, errno.EINPROGRESS):
+            self._on_connection_lost(now)
             return
-        self._watch(selectors.EVENT_WRITE)
+        self._register(selectors.EVENT_WRITE)
 
-    def _connected(self, sock: socket.socket, now: int) -> None:
-        code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise OSError(code, "refused")
+    def _on_connected(self, sock: socket.socket, now: int) -> None:
+        error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_code:
+            raise OSError(error_code, "refused")
         self.bytes_out += sock.send(self.client.watch_request())
         self.lines = LineBuffer(now, SILENCE_TIMEOUT_S)
-        self._watch(selectors.EVENT_READ)
+        self._register(selectors.EVENT_READ)
 
     def _read(self, sock: socket.socket, lines: LineBuffer) -> None:
         data = sock.recv(READ_BYTES)
         self.bytes_in += len(data)
         self.client.receive(lines, ReceivedBytes(data, now_us()), self.client.generation)
         while not self.member_table.mailbox.empty():
-            news = self.member_table.mailbox.get_nowait()
-            if news is not None:
-                self.member_table.receive(news)
+            update = self.member_table.mailbox.get_nowait()
+            if update is not None:
+                self.member_table.receive(update)
 
-    def _lost(self, now: int) -> None:
+    def _on_connection_lost(self, now: int) -> None:
         self.close()
-        told = self.member_table.notified_us != self.told_us
-        self.again_us = now + int(self.client.reconnect_delay_s(told) * 1e6)
+        was_notified = self.member_table.notified_us != self.initial_notified_us
+        self.reconnect_us = now + int(self.client.reconnect_delay_s(was_notified) * 1e6)
 
-    def _watch(self, events: int) -> None:
+    def _register(self, events: int) -> None:
         assert self.sock is not None
         try:
             self.selector.modify(self.sock, events, self.on_ready)
         except KeyError:
             self.selector.register(self.sock, events, self.on_ready)
 
-    def _mute(self) -> None:
+    def _unregister(self) -> None:
         if self.sock is not None:
             try:
                 self.selector.unregister(self.sock)
--- a/lupintack/scale/hollow_discovery_process.py
+++ b/lupintack/scale/hollow_discovery_process.py
@@ -14,13 +14,13 @@
 def main() -> None:
     """Serve watchers until standard input ends."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends its processes
-    board = DiscoveryServer()
-    sys.stdout.buffer.write(messages.frame(messages.Address(board.address)))
+    server = DiscoveryServer()
+    sys.stdout.buffer.write(messages.encode_frame(messages.Address(server.address)))
     sys.stdout.buffer.flush()
     while (raw := messages.read_frame(sys.stdin.buffer)) is not None:
-        command = messages.commands.decode(raw)
+        command = messages.command_decoder.decode(raw)
         if isinstance(command, messages.Publish):
-            board.publish(json.loads(command.event))
+            server.publish(json.loads(command.event))
     os._exit(0)  # the threads of its watchers wait for ever
 
 
--- a/lupintack/scale/hollow_messages.py
+++ b/lupintack/scale/hollow_messages.py
@@ -22,7 +22,7 @@
     fleet: str
     secret: str
     routers: tuple[RouterPlan, ...]
-    mine: tuple[str, ...]
+    assigned: tuple[str, ...]
     voters: tuple[str, ...]
     budgets: tuple[BudgetPlan, ...]
     discovery: tuple[str, ...]  # addresses; a router's is given by its number
@@ -81,7 +81,7 @@
     written_unix_ms: float
 
 
-class Mark(msgspec.Struct, frozen=True, tag=True):
+class StartMeasurement(msgspec.Struct, frozen=True, tag=True):
     """The measurement begins: counters are zero from here on."""
 
 
@@ -89,7 +89,9 @@
     """Tell what was measured, and end."""
 
 
-Command = Setup | Start | Kill | Leave | Pause | Resume | Cut | Heal | ChangeSettings | Mark | Finish
+Command = (
+    Setup | Start | Kill | Leave | Pause | Resume | Cut | Heal | ChangeSettings | StartMeasurement | Finish
+)
 
 
 # To a process of the discovery stand-in
@@ -110,8 +112,8 @@
     running: int
     starting: int
     joined: int
-    least_members: int
-    most_members: int
+    min_members: int
+    max_members: int
     views: tuple[int, ...]  # the different view ids, a few at most
     watching: int  # routers whose connection to discovery has told something
     allocators: tuple[str, ...]  # of the fleet
@@ -120,7 +122,7 @@
     behind: int
 
 
-class Happened(msgspec.Struct, frozen=True, tag=True):
+class LifecycleEvent(msgspec.Struct, frozen=True, tag=True):
     """A fault of the script took place at this moment of the monotonic clock."""
 
     kind: str
@@ -164,7 +166,7 @@
     budgets: Usage
     discovery: Usage
     settings: Usage
-    late_us: int  # by how much it missed its own ticks at most
+    max_tick_delay_us: int  # by how much it missed its own ticks at most
     leases: tuple[LeaseStatus, ...]
 
 
@@ -175,10 +177,10 @@
     removals: tuple[Removal, ...]
     purge_ms: dict[int, int]  # how many purges reached a router after so many milliseconds
     change_ms: dict[int, int]  # the same of list and settings changes
-    faults: int  # exceptions that were caught and logged
+    exceptions: int  # exceptions that were caught and logged
     loop_cpu_ns: int  # of the whole thread since the mark
-    turn_most_us: int  # the longest turn of its loop
-    turn_cpu_most_ns: int  # and the most processor time of one
+    max_turn_us: int  # the longest turn of its loop
+    max_turn_cpu_ns: int  # and the most processor time of one
 
 
 class Address(msgspec.Struct, frozen=True, tag=True):
@@ -187,44 +189,44 @@
     address: str
 
 
-Reply = Status | Happened | Finished | Address
+Reply = Status | LifecycleEvent | Finished | Address
 
 encoder = msgspec.msgpack.Encoder()
-commands: msgspec.msgpack.Decoder[Command | Publish] = msgspec.msgpack.Decoder(Command | Publish)
-replies: msgspec.msgpack.Decoder[Reply] = msgspec.msgpack.Decoder(Reply)
+command_decoder: msgspec.msgpack.Decoder[Command | Publish] = msgspec.msgpack.Decoder(Command | Publish)
+reply_decoder: msgspec.msgpack.Decoder[Reply] = msgspec.msgpack.Decoder(Reply)
 
 
-def frame(message: Command | Publish | Reply) -> bytes:
+def encode_frame(message: Command | Publish | Reply) -> bytes:
     """A message as it goes through a pipe."""
     raw = encoder.encode(message)
     return LENGTH.pack(len(raw)) + raw
 
 
-class Frames:
+class FrameBuffer:
     """Cuts the bytes of a pipe into frames."""
 
     def __init__(self) -> None:
         """No bytes yet."""
-        self.rest = bytearray()
+        self.buffer = bytearray()
 
-    def cut(self, data: bytes) -> list[bytes]:
+    def feed(self, data: bytes) -> list[bytes]:
         """The frames that are whole with these bytes."""
-        self.rest += data
-        found = []
-        while len(self.rest) >= LENGTH.size:
-            end = LENGTH.size + LENGTH.unpack_from(self.rest)[0]
-            if len(self.rest) < end:
+        self.buffer += data
+        frames = []
+        while len(self.buffer) >= LENGTH.size:
+            end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
+            if len(self.buffer) < end:
                 break
-            found.append(bytes(self.rest[LENGTH.size : end]))
-            del self.rest[:end]
-        return found
+            frames.append(bytes(self.buffer[LENGTH.size : end]))
+            del self.buffer[:end]
+        return frames
 
 
 def read_frame(pipe: BinaryIO) -> bytes | None:
     """The next frame of a blocking pipe; None at its end."""
-    head = pipe.read(LENGTH.size)
-    if len(head) < LENGTH.size:
+    header = pipe.read(LENGTH.size)
+    if len(header) < LENGTH.size:
         return None
-    length = LENGTH.unpack(head)[0]
+    length = LENGTH.unpack(header)[0]
     body = pipe.read(length)
     return body if len(body) == length else None
--- a/lupintack/scale/hollow_plan.py
+++ b/lupintack/scale/hollow_plan.py
@@ -60,7 +60,7 @@
     """One budget that all routers share: a whole in units, of things out at once."""
 
     name: str
-    whole: int
+    total: int
     site: str = ""  # empty: wanted at all sites
     reserved_per_mille: int = RESERVED_PER_MILLE
 
@@ -75,13 +75,13 @@
 
 def plan_routers(size: FleetSize, ports: Sequence[int]) -> tuple[RouterPlan, ...]:
     """The routers of a run, dealt out evenly; `ports`: one for each."""
-    found = []
+    routers = []
     for number, port in zip(range(size.routers), ports, strict=True):
         site = number % size.sites
         zone = site % size.zones
         region = zone % size.regions
-        found.append(RouterPlan(f"h{number:04d}", f"s{site:03d}", f"z{zone:02d}", f"r{region:02d}", port))
-    return tuple(found)
+        routers.append(RouterPlan(f"h{number:04d}", f"s{site:03d}", f"z{zone:02d}", f"r{region:02d}", port))
+    return tuple(routers)
 
 
 def plan_voters(routers: Sequence[RouterPlan]) -> tuple[RouterPlan, ...]:
@@ -92,25 +92,25 @@
 
 def plan_regions(routers: Sequence[RouterPlan]) -> tuple[RegionSetup, ...]:
     """All regions for budgets of two levels: the first routers of each vote there."""
-    found = []
-    for region in sorted({one.region for one in routers}):
-        inside = [one for one in routers if one.region == region]
-        count = REGION_VOTERS if len(inside) >= REGION_VOTERS else 1
-        voters = tuple(one.name for one in inside[:count])
-        found.append(RegionSetup(region, voters, tuple(sorted({one.site for one in inside}))))
-    return tuple(found)
+    setups = []
+    for region in sorted({router.region for router in routers}):
+        members = [router for router in routers if router.region == region]
+        count = REGION_VOTERS if len(members) >= REGION_VOTERS else 1
+        voters = tuple(router.name for router in members[:count])
+        setups.append(RegionSetup(region, voters, tuple(sorted({router.site for router in members}))))
+    return tuple(setups)
 
 
 def plan_budgets(routers: Sequence[RouterPlan], site_budgets: bool) -> tuple[BudgetPlan, ...]:
     """Two budgets of the whole fleet and, where wanted, one for each site."""
-    found = [
+    budgets = [
         BudgetPlan("cold-parents", WARMING_PARENT_SLOTS),
         BudgetPlan("store-fills", STORE_FILLS_PER_ROUTER * len(routers)),
     ]
     if site_budgets:
-        counts = Counter(one.site for one in routers)
-        found += [
+        counts = Counter(router.site for router in routers)
+        budgets += [
             BudgetPlan(f"cold-caches.{site}", WARMING_CACHE_SLOTS_PER_ROUTER * count, site)
             for site, count in sorted(counts.items())
         ]
-    return tuple(found)
+    return tuple(budgets)
--- a/lupintack/scale/hollow_process.py
+++ b/lupintack/scale/hollow_process.py
@@ -30,31 +30,31 @@
 READ_BYTES = 1 << 16
 MAX_WAIT_US = 200_000
 STATUS_US = 500_000
-MIN_STEP_US = 500  # between two calls of one router that has nothing ready
+MIN_WAKE_INTERVAL_US = 500  # between two calls of one router that has nothing ready
 MAX_JOINING = 2  # routers of a process that join at the same time
-JOIN_PATIENCE_US = 5_000_000  # after so long the next ones start, whether or not these have joined
-LEAVE_US = 1_000_000  # between a word of leave and the end
-BEHIND_US = 500_000  # a tick later than this: the router does not keep up
-MAX_VIEWS = 4
+JOIN_TIMEOUT_US = 5_000_000  # after so long the next ones start, whether or not these have joined
+LEAVE_GRACE_US = 1_000_000  # between a word of leave and the end
+MAX_TICK_DELAY_US = 500_000  # a tick later than this: the router does not keep up
+MAX_REPORTED_VIEWS = 4
 
 
 class HollowProcess:
     """The routers of one process and what drives them."""
 
-    def __init__(self, setup: messages.Setup, frames: messages.Frames) -> None:
+    def __init__(self, setup: messages.Setup, frames: messages.FrameBuffer) -> None:
         """`frames`: what has been read of standard input beyond the setup."""
         self.setup, self.frames = setup, frames
         self.selector = selectors.DefaultSelector()
-        self.network = Network({one.name: one.port for one in setup.routers})
-        self.plans = {one.name: one for one in setup.routers}
+        self.network = Network({plan.name: plan.port for plan in setup.routers})
+        self.plans = {plan.name: plan for plan in setup.routers}
         self.routers: dict[str, HollowRouter] = {}
-        self.waiting: deque[str] = deque()
+        self.start_queue: deque[str] = deque()
         self.joining: dict[str, int] = {}  # since when
         self.started: set[str] = set()
         self.heap: list[tuple[int, int, HollowRouter]] = []
         self.timers: list[tuple[int, int, Callable[[], None]]] = []
         self.counter = 0
-        self.unread_settings: deque[tuple[str, float]] = deque()
+        self.pending_settings_reads: deque[tuple[str, float]] = deque()
         self.settings: config.Config | None = None
         self.reports: list[messages.RouterReport] = []
         self.removals: list[messages.Removal] = []
@@ -62,9 +62,9 @@
         self.change_ms: Counter[int] = Counter()
         self.status_us = 0
         self.loop_cpu_ns = 0
-        self.marked = False
-        self.turn_most_us = self.turn_cpu_most_ns = 0
-        self.over = False
+        self.measuring = False
+        self.max_turn_us = self.max_turn_cpu_ns = 0
+        self.finished = False
 
     # The loop
 
@@ -72,24 +72,24 @@
         """Until it is told to finish, or standard input ends."""
         os.set_blocking(sys.stdin.fileno(), False)
         self.selector.register(sys.stdin, selectors.EVENT_READ, self.on_command)
-        while not self.over:
-            wait_us = max(0, min(self._next_us() - now_us(), MAX_WAIT_US))
-            ready = self.selector.select(0 if self.unread_settings else wait_us / 1e6)
+        while not self.finished:
+            wait_us = max(0, min(self._next_wake_us() - now_us(), MAX_WAIT_US))
+            ready = self.selector.select(0 if self.pending_settings_reads else wait_us / 1e6)
             began_us, began_cpu_ns = now_us(), time.thread_time_ns()
             for key, _ in ready:
                 key.data()
             self._wake_routers()
             self._run_timers()
-            self._start_waiting()
+            self._start_queued()
             self._read_settings()
             if now_us() >= self.status_us:
                 self.status_us = now_us() + STATUS_US
                 self.reply(self.status())
-            if self.marked:
-                self.turn_most_us = max(self.turn_most_us, now_us() - began_us)
-                self.turn_cpu_most_ns = max(self.turn_cpu_most_ns, time.thread_time_ns() - began_cpu_ns)
+            if self.measuring:
+                self.max_turn_us = max(self.max_turn_us, now_us() - began_us)
+                self.max_turn_cpu_ns = max(self.max_turn_cpu_ns, time.thread_time_ns() - began_cpu_ns)
 
-    def _next_us(self) -> int:
+    def _next_wake_us(self) -> int:
         times = [self.status_us]
         if self.heap:
             times.append(self.heap[0][0])
@@ -112,20 +112,20 @@
         """Call a router when it wants to be called, if that is sooner than it would be."""
         if router.paused or router.ended:
             return
-        at = max(router.wake_us, now_us() + MIN_STEP_US)
+        at = max(router.wake_us, now_us() + MIN_WAKE_INTERVAL_US)
         if at < router.scheduled_us:
             router.scheduled_us = at
             self.counter += 1
             heapq.heappush(self.heap, (at, self.counter, router))
 
-    def later(self, after_us: int, what: Callable[[], None]) -> None:
+    def call_later(self, after_us: int, action: Callable[[], None]) -> None:
         """Call this once, then."""
         self.counter += 1
-        heapq.heappush(self.timers, (now_us() + after_us, self.counter, what))
+        heapq.heappush(self.timers, (now_us() + after_us, self.counter, action))
 
     def reply(self, message: messages.Reply) -> None:
         """A frame to the coordinator."""
-        sys.stdout.buffer.write(messages.frame(message))
+        sys.stdout.buffer.write(messages.encode_frame(message))
         sys.stdout.buffer.flush()
 
     # Commands
@@ -137,47 +137,49 @@
         except BlockingIOError:
             return
         if not data:
-            self.over = True
+            self.finished = True
             return
-        for raw in self.frames.cut(data):
-            self.carry_out(messages.commands.decode(raw))
+        for raw in self.frames.feed(data):
+            self.execute(messages.command_decoder.decode(raw))
 
-    def carry_out(self, command: messages.Command | messages.Publish) -> None:
+    def execute(self, command: messages.Command | messages.Publish) -> None:
         """One command."""
         match command:
             case messages.Start(names):
-                self.waiting += names
+                self.start_queue += names
             case messages.Kill(names):
-                self._each(names, self.kill)
+                self._for_each(names, self.kill)
             case messages.Leave(names):
-                self._each(names, self.leave)
+                self._for_each(names, self.leave)
             case messages.Pause(names):
-                self._each(names, HollowRouter.pause, "pause")
+                self._for_each(names, HollowRouter.pause, "pause")
             case messages.Resume(names):
-                self._each(names, HollowRouter.resume, "resume")
+                self._for_each(names, HollowRouter.resume, "resume")
             case messages.Cut(number, names, discovery):
                 self.network.cut(number, names, discovery)
             case messages.Heal(number):
                 self.network.heal(number)
                 for router in self.routers.values():
                     if not router.paused:
-                        router.discovery.on_cut()
+                        router.discovery.on_reachability_change()
             case messages.ChangeSettings(written):
-                self.unread_settings += [(name, written) for name in self.routers]
-            case messages.Mark():
-                self.mark()
+                self.pending_settings_reads += [(name, written) for name in self.routers]
+            case messages.StartMeasurement():
+                self.start_measurement()
             case messages.Finish():
                 self.finish()
             case _:
                 LOG.error("unknown command %r", command)
 
-    def _each(self, names: tuple[str, ...], what: Callable[[HollowRouter], None], kind: str = "") -> None:
+    def _for_each(
+        self, names: tuple[str, ...], action: Callable[[HollowRouter], None], kind: str = ""
+    ) -> None:
         for name in names:
             router = self.routers.get(name)
             if router is not None:
-                what(router)
+                action(router)
                 if kind:
-                    self.reply(messages.Happened(kind, name, now_us()))
+                    self.reply(messages.LifecycleEvent(kind, name, now_us()))
 
     def kill(self, router: HollowRouter) -> None:
         """End a router's process without a word."""
@@ -187,17 +189,17 @@
         del self.routers[name]
         at = now_us()
         router.kill()
-        self.reply(messages.Happened("kill", name, at))
+        self.reply(messages.LifecycleEvent("kill", name, at))
 
     def leave(self, router: HollowRouter) -> None:
         """Let a router say that it leaves, and end it then."""
-        self.reply(messages.Happened("leave", router.plan.name, now_us()))
+        self.reply(messages.LifecycleEvent("leave", router.plan.name, now_us()))
         router.leave()
-        self.later(LEAVE_US, lambda: self.kill(router) if not router.ended else None)
+        self.call_later(LEAVE_GRACE_US, lambda: self.kill(router) if not router.ended else None)
 
-    def mark(self) -> None:
+    def start_measurement(self) -> None:
         """The measurement begins."""
-        self.later(0, self.count_turns)
+        self.call_later(0, self.start_turn_measurement)
         gc.freeze()  # a collection over the tables of all routers would stop each of them
         self.purge_ms.clear()
         self.change_ms.clear()
@@ -205,11 +207,11 @@
         self.reports.clear()
         self.loop_cpu_ns = time.thread_time_ns()
         for router in self.routers.values():
-            router.mark()
+            router.start_measurement()
 
-    def count_turns(self) -> None:
+    def start_turn_measurement(self) -> None:
         """From the turn after the mark on: the mark itself takes long where tables are large."""
-        self.marked = True
+        self.measuring = True
 
     def finish(self) -> None:
         """Tell what was measured, and end."""
@@ -218,29 +220,29 @@
         self.reply(
             messages.Finished(
                 tuple(self.reports), tuple(self.removals), dict(self.purge_ms), dict(self.change_ms), faults,
-                time.thread_time_ns() - self.loop_cpu_ns, self.turn_most_us, self.turn_cpu_most_ns,
+                time.thread_time_ns() - self.loop_cpu_ns, self.max_turn_us, self.max_turn_cpu_ns,
             )
         )  # fmt: skip
-        self.over = True
+        self.finished = True
 
     # Starts
 
-    def _start_waiting(self) -> None:
+    def _start_queued(self) -> None:
         for name, since in list(self.joining.items()):
-            if self.routers[name].joined or now_us() - since > JOIN_PATIENCE_US:
+            if self.routers[name].joined or now_us() - since > JOIN_TIMEOUT_US:
                 del self.joining[name]
-        while self.waiting and len(self.joining) < MAX_JOINING:
-            name = self.waiting.popleft()
+        while self.start_queue and len(self.joining) < MAX_JOINING:
+            name = self.start_queue.popleft()
             if name not in self.routers:
                 self.start(name)
 
     def start(self, name: str) -> None:
         """A router's process, under its name and port."""
-        alone = name == self.setup.routers[0].name and name not in self.started
+        is_first = name == self.setup.routers[0].name and name not in self.started
         self.started.add(name)
         router = HollowRouter(
-            self.plans[name], self.setup, alone, self.network, self.selector, self.on_members, self.on_list,
-            self.schedule,
+            self.plans[name], self.setup, is_first, self.network, self.selector, self.on_membership_change,
+            self.on_list_change, self.schedule,
             max((router.discovery.client.last_revision for router in self.routers.values()), default=1),
         )  # fmt: skip
         if router.fleet.address != self.plans[name].address:
@@ -249,16 +251,16 @@
         self.joining[name] = now_us()
         router.start()
         self.schedule(router)
-        self.reply(messages.Happened("start", name, now_us()))
+        self.reply(messages.LifecycleEvent("start", name, now_us()))
 
     # What routers hear
 
-    def on_members(self, router: HollowRouter, change: MembershipChange) -> None:
+    def on_membership_change(self, router: HollowRouter, change: MembershipChange) -> None:
         """A router tells its users of changes among the members."""
         if change.removed:
             self.removals.append(messages.Removal(now_us(), router.plan.name, change.removed))
 
-    def on_list(self, change: ListChange) -> None:
+    def on_list_change(self, change: ListChange) -> None:
         """A purge or a change of the list is in a router's tables."""
         now_ms = time.time() * 1000
         if change.purge is not None and change.purge.unix_ms is not None:
@@ -269,9 +271,9 @@
 
     def _read_settings(self) -> None:
         """One router reads the settings file; the others wait for the next turn."""
-        if not self.unread_settings:
+        if not self.pending_settings_reads:
             return
-        name, written = self.unread_settings.popleft()
+        name, written = self.pending_settings_reads.popleft()
         router = self.routers.get(name)
         if router is None or router.paused:
             return
@@ -280,9 +282,9 @@
 
     def _load_settings(self, name: str) -> None:
         """Read and check the file as a SIGHUP does; the content is kept once for all routers."""
-        old = self.settings
+        previous = self.settings
         self.settings = config.load({"EDGE_CONFIG": self.setup.settings_file, "EDGE_NAME": name})
-        if old is not None and changes.missing(old.raw, self.settings.raw):
+        if previous is not None and changes.missing(previous.raw, self.settings.raw):
             LOG.error("a settings file lacks what the one before had")
 
     # Status
@@ -290,20 +292,20 @@
     def status(self) -> messages.Status:
         """How the routers are."""
         now = now_us()
-        views = [one.fleet.membership.view for one in self.routers.values()]
+        views = [router.fleet.membership.view for router in self.routers.values()]
         members = [len(view.names) for view in views]
         return messages.Status(
             len(self.routers),
-            len(self.waiting) + len(self.joining),
-            sum(one.joined for one in self.routers.values()),
+            len(self.start_queue) + len(self.joining),
+            sum(router.joined for router in self.routers.values()),
             min(members, default=0),
             max(members, default=0),
-            tuple(sorted({view.id for view in views})[:MAX_VIEWS]),
-            sum(one.discovery.bytes_in > 0 for one in self.routers.values()),
-            tuple(name for name, one in self.routers.items() if one.allocates(now)),
-            sum(one.allocates_region(now) for one in self.routers.values()),
-            sum(len(one.names) for one in self.removals),
-            sum(one.late_us > BEHIND_US for one in self.routers.values()),
+            tuple(sorted({view.id for view in views})[:MAX_REPORTED_VIEWS]),
+            sum(router.discovery.bytes_in > 0 for router in self.routers.values()),
+            tuple(name for name, router in self.routers.items() if router.allocates(now)),
+            sum(router.allocates_region(now) for router in self.routers.values()),
+            sum(len(removal.names) for removal in self.removals),
+            sum(router.max_tick_delay_us > MAX_TICK_DELAY_US for router in self.routers.values()),
         )
 
 
@@ -311,18 +313,18 @@
     """The first frame on standard input says what to drive."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends its processes
     logging.basicConfig(level=logging.WARNING)
-    frames = messages.Frames()
-    found: list[bytes] = []
-    while not found:
+    frames = messages.FrameBuffer()
+    initial_frames: list[bytes] = []
+    while not initial_frames:
         data = os.read(sys.stdin.fileno(), READ_BYTES)
         if not data:
             return
-        found = frames.cut(data)
-    setup = messages.commands.decode(found[0])
+        initial_frames = frames.feed(data)
+    setup = messages.command_decoder.decode(initial_frames[0])
     assert isinstance(setup, messages.Setup)
     process = HollowProcess(setup, frames)
-    for raw in found[1:]:
-        process.carry_out(messages.commands.decode(raw))
+    for raw in initial_frames[1:]:
+        process.execute(messages.command_decoder.decode(raw))
     process.run()
 
 
--- a/lupintack/scale/hollow_real_process.py
+++ b/lupintack/scale/hollow_real_process.py
@@ -18,13 +18,15 @@
 
 def operator_tables(setup: messages.Setup) -> tuple[dict[str, Any], dict[str, dict[str, Any]]]:
     """The real routers' [membership] and their other tables."""
-    by_name = {one.name: one for one in setup.routers}
+    by_name = {router.name: router for router in setup.routers}
     seeds = [by_name[name].address for name in setup.voters]
     membership = {"fleet": setup.fleet, "secret": setup.secret, "seeds": seeds, "site": setup.routers[0].site}
-    wholes = {one.name: one.whole for one in setup.budgets}
+    totals = {budget.name: budget.total for budget in setup.budgets}
     percent = setup.budgets[0].reserved_per_mille // 10
-    budgets = {"enabled": True, "voters": list(setup.voters), "at_once": wholes, "floor_percent": percent}
-    regions = {one.name: {"voters": list(one.voters), "sites": list(one.sites)} for one in setup.regions}
+    budgets = {"enabled": True, "voters": list(setup.voters), "at_once": totals, "floor_percent": percent}
+    regions = {
+        region.name: {"voters": list(region.voters), "sites": list(region.sites)} for region in setup.regions
+    }
     return membership, {"budgets": budgets | ({"regions": regions} if regions else {})}
 
 
@@ -34,11 +36,11 @@
     raw = messages.read_frame(sys.stdin.buffer)
     if raw is None:
         return
-    setup = messages.commands.decode(raw)
+    setup = messages.command_decoder.decode(raw)
     assert isinstance(setup, messages.Setup)
     membership, tables = operator_tables(setup)
     with tempfile.TemporaryDirectory(dir=setup.tmp) as folder:
-        routers = Routers(Path(folder), len(setup.mine), terms=membership, tables=lambda name: tables)
+        routers = Routers(Path(folder), len(setup.assigned), terms=membership, tables=lambda name: tables)
         try:
             routers.start()
             while os.read(sys.stdin.fileno(), 1):
--- a/lupintack/scale/hollow_router.py
+++ b/lupintack/scale/hollow_router.py
@@ -33,7 +33,7 @@
 from lupintack.scale.hollow_plan import RouterPlan
 from lupintack.scale.hollow_shared import SharedRings, SharedView
 
-DATAGRAMS_AT_ONCE = 16  # of one router, before the others have their turn
+MAX_DATAGRAMS_PER_CALL = 16  # of one router, before the others have their turn
 NEVER_US = 1 << 62
 
 
@@ -100,23 +100,23 @@
         self,
         plan: RouterPlan,
         setup: Setup,
-        alone: bool,
+        is_first: bool,
         network: Network,
         selector: selectors.BaseSelector,
-        on_members: Callable[[HollowRouter, MembershipChange], None],
-        on_list: Callable[[ListChange], None],
-        on_touched: Callable[[HollowRouter], None],
+        on_membership_change: Callable[[HollowRouter, MembershipChange], None],
+        on_list_change: Callable[[ListChange], None],
+        on_wake_change: Callable[[HollowRouter], None],
         revision: int,
     ) -> None:
         """`alone`: the fleet's first process, which asks nobody; `on_touched`: `wake_us` may have moved;
         `revision`: of discovery, up to which its configuration tells all.
         """
         self.plan, self.selector = plan, selector
-        self.on_touched = on_touched
-        number = next(n for n, one in enumerate(setup.routers) if one.name == plan.name)
+        self.on_wake_change = on_wake_change
+        number = next(n for n, router in enumerate(setup.routers) if router.name == plan.name)
         self.usage = {"membership": Usage(), "budgets": Usage(), "discovery": Usage(), "settings": Usage()}
-        by_name = {one.name: one for one in setup.routers}
-        seeds = () if alone else tuple(by_name[name].address for name in setup.voters)
+        by_name = {router.name: router for router in setup.routers}
+        seeds = () if is_first else tuple(by_name[name].address for name in setup.voters)
         fleet_address = FleetAddress(
             plan.name, plan.site, ("127.0.0.1", plan.port), setup.fleet, setup.secret, seeds, {}
         )  # fmt: skip
@@ -124,18 +124,18 @@
             fleet_address,
             setup.seed + number,
             network,
-            lambda change: on_members(self, change),
+            lambda change: on_membership_change(self, change),
             self.usage["budgets"],
         )
         self.budgets = self._make_budgets(setup)
         self.fleet.budgets = self.budgets
         self.discovery = DiscoveryConnection(
             setup.discovery[number % len(setup.discovery)],
-            Names((), tuple(sorted({one.site for one in setup.routers})), ("box", "parent", "origin"), ()),
+            Names((), tuple(sorted({r.site for r in setup.routers})), ("box", "parent", "origin"), ()),
             setup.seed + number,
             selector,
             self.on_discovery,
-            on_list,
+            on_list_change,
             lambda: network.reaches_discovery(plan.name),
         )
         self.discovery.client.load_initial_log({"rev": revision})
@@ -144,27 +144,27 @@
         self.paused = False
         self.ended = False
         self.scheduled_us = NEVER_US  # when the process has been told to call
-        self.late_us = 0
-        self.marked_us = now_us()
+        self.max_tick_delay_us = 0
+        self.measured_from_us = now_us()
         self.leases: list[LeaseStatus] = []
-        self.counted: Counter[str] = Counter()
+        self.initial_byte_counts: Counter[str] = Counter()
 
     def _make_budgets(self, setup: Setup) -> BudgetService:
         """The budgets' part of a router, as fleet/start.py makes it, with demand drawn by chance."""
-        found = [budget(one.name, one.whole, True, one.reserved_per_mille) for one in setup.budgets]
+        budgets = [budget(one.name, one.total, True, one.reserved_per_mille) for one in setup.budgets]
         plan = None
         if setup.regions:
             regions = [Region(one.name, one.voters, one.sites) for one in setup.regions]
-            plan = plan_region(found, regions, region_of_site(regions, self.plan.site))
-            found = list(plan.budgets)
+            plan = plan_region(budgets, regions, region_of_site(regions, self.plan.site))
+            budgets = list(plan.budgets)
         numbers = {one.name: number for number, one in enumerate(setup.budgets)}
-        self.budget_numbers = tuple(numbers[one.name] for one in found)
-        wanted = [setup.budgets[number] for number in self.budget_numbers]
-        demand = Demand(wanted, len(setup.routers), self.plan.site, Random(setup.seed ^ self.plan.port))
+        self.budget_numbers = tuple(numbers[one.name] for one in budgets)
+        budget_plans = [setup.budgets[number] for number in self.budget_numbers]
+        demand = Demand(budget_plans, len(setup.routers), self.plan.site, Random(setup.seed ^ self.plan.port))
         service = BudgetService(
-            self.plan.name, self.fleet.membership.me.start, setup.fleet, setup.tmp, found,
+            self.plan.name, self.fleet.membership.me.start, setup.fleet, setup.tmp, budgets,
             setup.voters, setup.voters, BudgetTerms(), self.fleet.codec, self.fleet.send_to_router,
-            self.fleet.address, self._hold,
+            self.fleet.address, self._record_lease,
             lambda: service.set_demand(demand.draw(now_us()), service.node.holder.zero), plan,
         )  # fmt: skip
         return service
@@ -174,8 +174,8 @@
     def start(self) -> None:
         """Open all sockets and say the first words."""
         self.fleet.exchanges.open()
-        self._watch()
-        self.marked_us = now_us()
+        self._register_sockets()
+        self.measured_from_us = now_us()
         self.timed(
             "membership", lambda: self.fleet.execute(self.fleet.call_membership(self.fleet.membership.start))
         )
@@ -184,7 +184,7 @@
         """End without a word; the kernel refuses what comes afterwards."""
         now = now_us()
         self._end_lease(now)
-        self._unwatch()
+        self._unregister_sockets()
         self.fleet.close()
         self.fleet.exchanges.close()
         self.discovery.close()
@@ -198,15 +198,15 @@
     def pause(self) -> None:
         """Nothing is read or done until `resume`; the kernel keeps what comes."""
         self.paused = True
-        self._unwatch()
+        self._unregister_sockets()
         self.discovery.pause()
 
     def resume(self) -> None:
         """Go on, all ticks late."""
         self.paused = False
-        self._watch()
+        self._register_sockets()
         self.discovery.resume()
-        self.touch()
+        self.notify_wake_change()
 
     def allocates(self, now: int) -> bool:
         """Whether it is the fleet's allocator."""
@@ -238,13 +238,13 @@
         )
         return min(times)
 
-    def touch(self) -> None:
+    def notify_wake_change(self) -> None:
         """Its wake time may have moved."""
-        self.on_touched(self)
+        self.on_wake_change(self)
 
     def on_wake(self, now: int) -> None:
         """Do what is due."""
-        self.late_us = max(self.late_us, now - self.scheduled_us)
+        self.max_tick_delay_us = max(self.max_tick_delay_us, now - self.scheduled_us)
         self.scheduled_us = NEVER_US
         if now >= self.fleet.membership.wake_us:
             self.timed("membership", lambda: self.fleet.process(b""))
@@ -256,11 +256,11 @@
             self.on_exchanges()
         if now >= self.discovery.wake_us:
             self.timed("discovery", lambda: self.discovery.on_wake(now))
-        self.touch()
+        self.notify_wake_change()
 
     def on_datagrams(self) -> None:
         """Take what has come, a few at most."""
-        for _ in range(DATAGRAMS_AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_CALL):
             try:
                 raw = self.fleet.read_datagram()
             except OSError:  # a refusal of something sent earlier
@@ -273,45 +273,45 @@
                 self.timed("budgets", lambda raw=raw: self.fleet.process(raw))  # type: ignore[misc]
             else:
                 self.timed("membership", lambda raw=raw: self.fleet.process(raw))  # type: ignore[misc]
-        self.touch()
+        self.notify_wake_change()
 
     def on_exchanges(self) -> None:
         """Exchanges and probes of connections."""
         self.timed("membership", lambda: self.fleet.exchanges.poll(0.0))
-        self.touch()
+        self.notify_wake_change()
 
     def on_discovery(self) -> None:
         """The connection to discovery."""
         self.timed("discovery", self.discovery.on_readable)
         if self.discovery.lines is None:  # else what it waits for is later than before
-            self.touch()
+            self.notify_wake_change()
 
     # What is measured
 
-    def mark(self) -> None:
+    def start_measurement(self) -> None:
         """The measurement begins."""
-        self.marked_us = now_us()
-        self.late_us = 0
-        self.allocator = self.allocates(self.marked_us)
-        self.region_allocator = self.allocates_region(self.marked_us)
+        self.measured_from_us = now_us()
+        self.max_tick_delay_us = 0
+        self.allocator = self.allocates(self.measured_from_us)
+        self.region_allocator = self.allocates_region(self.measured_from_us)
         for usage in self.usage.values():
             usage.cpu_ns = usage.bytes_in = usage.bytes_out = 0
-        self.counted = Counter(self._byte_counts())
+        self.initial_byte_counts = Counter(self._byte_counts())
 
     def report(self) -> RouterReport:
         """What was measured since the mark, or since its start."""
         now = now_us()
         self._end_lease(now)
         counts = self._byte_counts()
-        counts.subtract(self.counted)
+        counts.subtract(self.initial_byte_counts)
         budgets, discovery, membership = (self.usage[n] for n in ("budgets", "discovery", "membership"))
         discovery.bytes_in, discovery.bytes_out = counts["discovery.in"], counts["discovery.out"]
         membership.bytes_in = counts["fleet.in"] - budgets.bytes_in + counts["exchanged.in"]
         membership.bytes_out = counts["fleet.out"] - budgets.bytes_out + counts["exchanged.out"]
         return RouterReport(
-            self.plan.name, now - self.marked_us, self.voter, self.allocator, self.region_allocator,
+            self.plan.name, now - self.measured_from_us, self.voter, self.allocator, self.region_allocator,
             membership, budgets, discovery, self.usage["settings"],
-            self.late_us, tuple(self.leases),
+            self.max_tick_delay_us, tuple(self.leases),
         )  # fmt: skip
 
     def _byte_counts(self) -> Counter[str]:
@@ -327,36 +327,38 @@
             }
         )
 
-    def _hold(self, amounts: tuple[int, ...], until_us: int) -> None:
+    def _record_lease(self, amounts: tuple[int, ...], until_us: int) -> None:
         """What may be spent has changed: the old lease ends now, if it has not ended before. 0: for good."""
         now = now_us()
-        held = tuple((n, units) for n, units in zip(self.budget_numbers, amounts, strict=True) if units)
+        held_amounts = tuple(
+            (n, units) for n, units in zip(self.budget_numbers, amounts, strict=True) if units
+        )
         until_us = until_us or NEVER_US
         last = self.leases[-1] if self.leases else None
-        if last is not None and last.amounts == held and now <= last.until_us:
-            self.leases[-1] = LeaseStatus(last.from_us, until_us, held)
+        if last is not None and last.amounts == held_amounts and now <= last.until_us:
+            self.leases[-1] = LeaseStatus(last.from_us, until_us, held_amounts)
             return
         self._end_lease(now)
-        self.leases.append(LeaseStatus(now, until_us, held))
+        self.leases.append(LeaseStatus(now, until_us, held_amounts))
 
     def _end_lease(self, now: int) -> None:
         if self.leases and self.leases[-1].until_us > now:
             last = self.leases[-1]
             self.leases[-1] = LeaseStatus(last.from_us, now, last.amounts)
 
-    def timed(self, part: str, what: Callable[[], Any]) -> None:
+    def timed(self, part: str, action: Callable[[], Any]) -> None:
         """Do this, and count its processor time for a part of this router."""
         began = time.thread_time_ns()
-        what()
+        action()
         self.usage[part].cpu_ns += time.thread_time_ns() - began
 
-    def _watch(self) -> None:
+    def _register_sockets(self) -> None:
         self.selector.register(self.fleet.datagram_socket, selectors.EVENT_READ, self.on_datagrams)
         self.selector.register(self.fleet.exchanges.selector, selectors.EVENT_READ, self.on_exchanges)
 
-    def _unwatch(self) -> None:
-        for one in (self.fleet.datagram_socket, self.fleet.exchanges.selector):
+    def _unregister_sockets(self) -> None:
+        for file in (self.fleet.datagram_socket, self.fleet.exchanges.selector):
             try:
-                self.selector.unregister(one)
+                self.selector.unregister(file)
             except KeyError:
                 pass
--- a/lupintack/scale/hollow_shared.py
+++ b/lupintack/scale/hollow_shared.py
@@ -12,22 +12,22 @@
 from lupintack.membership.observers import ObserverRings, ring_positions
 from lupintack.membership.view import Record, View
 
-MAX_SHARED = 65_536
+MAX_SHARED_ENTRIES = 65_536
 
 _records: dict[Record, Record] = {}
 
 
 def shared_record(record: Record) -> Record:
     """The one object that stands for all equal records."""
-    if len(_records) > MAX_SHARED:
+    if len(_records) > MAX_SHARED_ENTRIES:
         _records.clear()
     return _records.setdefault(record, record)
 
 
-@lru_cache(maxsize=MAX_SHARED)
+@lru_cache(maxsize=MAX_SHARED_ENTRIES)
 def ring_entries(name: str) -> tuple[tuple[int, str], ...]:
     """A name's entry on each ring."""
-    return tuple((place, name) for place in ring_positions(name))
+    return tuple((position, name) for position in ring_positions(name))
 
 
 class SharedView(View):
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -36,7 +36,7 @@
     plan_voters,
 )
 from lupintack.scale.hollow_shared import SharedRings, SharedView
-from lupintack.scale.report import CutTime, DownKind, Downtime, History
+from lupintack.scale.report import CutTime, Downtime, DowntimeKind, History
 from lupintack.scale.resources import Machine
 from lupintack.scale.script import Fault, FaultKind, Script, read_script, select
 from lupintack.standins.discovery_server import DiscoveryServer
@@ -104,7 +104,7 @@
         coordinator.start_processes()
         coordinator.settle()
         assert coordinator.history.settled
-        coordinator.begin()
+        coordinator.start_measurement()
         yield coordinator
     finally:
         coordinator.close()
@@ -137,9 +137,9 @@
     run.wait(lambda: run.removals >= 9 * 3, PATIENCE_S, "nine routers to tell of three")
     for child in run.hollow:
         child.send(messages.Heal(1_000_000))  # of another cut: nothing changes
-        child.send(messages.Heal(run.cut_numbers[0]))
+        child.send(messages.Heal(run.cut_ids[0]))
     cut.until_us = now_us()
-    run.wait(run.agreed, PATIENCE_S, "all to agree again")
+    run.wait(run.has_converged, PATIENCE_S, "all to agree again")
     run.finish()
     removals = [one for process in run.finished for one in process.removals]
     assert not [name for name in report.false_removals(run.history, removals) if name in cut.names]
@@ -309,10 +309,12 @@
 
 @given(st.lists(st.binary(max_size=40), max_size=8), st.integers(1, 7))
 def test_frames_come_out_as_they_went_in_however_they_are_cut(events: list[bytes], step: int) -> None:
-    raw = b"".join(messages.frame(messages.Publish(one)) for one in events)
-    frames = messages.Frames()
-    found = [one for at in range(0, len(raw), step) for one in frames.cut(raw[at : at + step])]
-    assert [messages.commands.decode(one) for one in found] == [messages.Publish(one) for one in events]
+    raw = b"".join(messages.encode_frame(messages.Publish(one)) for one in events)
+    frames = messages.FrameBuffer()
+    found = [one for at in range(0, len(raw), step) for one in frames.feed(raw[at : at + step])]
+    assert [messages.command_decoder.decode(one) for one in found] == [
+        messages.Publish(one) for one in events
+    ]
 
 
 class Watched:
@@ -359,7 +361,7 @@
         watched.turn()
         assert len(watched.changes) == 1
         watched.reachable = True
-        watched.connection.on_cut()
+        watched.connection.on_reachability_change()
         watched.purges(21)
         board.purge("bb")
         watched.purges(22)
@@ -418,9 +420,9 @@
 def test_a_removal_is_false_unless_a_fault_explains_it() -> None:
     history = History(ended_us=300_000_000)
     history.downtimes += [
-        Downtime("killed", DownKind.KILLED, 10_000_000, 20_000_000),
-        Downtime("short", DownKind.PAUSED, 10_000_000, 13_000_000),
-        Downtime("long", DownKind.PAUSED, 10_000_000, 30_000_000),
+        Downtime("killed", DowntimeKind.KILLED, 10_000_000, 20_000_000),
+        Downtime("short", DowntimeKind.PAUSED, 10_000_000, 13_000_000),
+        Downtime("long", DowntimeKind.PAUSED, 10_000_000, 30_000_000),
     ]
     history.cuts.append(CutTime(frozenset({"c", "d"}), 100_000_000, 140_000_000))
     explained = [
@@ -438,9 +440,9 @@
 def test_detection_is_counted_at_each_other_router_and_a_quick_return_is_none() -> None:
     history = History(ended_us=100_000_000)
     history.downtimes += [
-        Downtime("a", DownKind.KILLED, 10_000_000),
-        Downtime("b", DownKind.KILLED, 10_000_000, 10_500_000),
-        Downtime("c", DownKind.KILLED, 90_000_000),
+        Downtime("a", DowntimeKind.KILLED, 10_000_000),
+        Downtime("b", DowntimeKind.KILLED, 10_000_000, 10_500_000),
+        Downtime("c", DowntimeKind.KILLED, 90_000_000),
     ]
     told = [removal(12, "x", "a"), removal(13, "y", "a"), removal(5, "z", "a"), removal(14, "b", "a")]
     found = report.detections(history, told, ["a", "b", "c", "x", "y", "z"])
@@ -468,10 +470,10 @@
             usage,
             usage,
             messages.Usage(1_000_000),
-            late_us,
+            max_tick_delay_us,
             (),
         )
-        for name, late_us in (("v", 0), ("w", 10), ("x", 500_000), ("y", 500_001))
+        for name, max_tick_delay_us in (("v", 0), ("w", 10), ("x", 500_000), ("y", 500_001))
     )
     done = messages.Finished(routers, (), {3: 2, 9: 1}, {}, 0, 0, 0, 0)
     history = History(0, 1_000_000, settled=True)
