--- a/lupintack/cli/scale_slope.py
+++ b/lupintack/cli/scale_slope.py
@@ -37,7 +37,7 @@
             roles.check(wanted, parameters)
         if plot is not None:
             check_writable(plot)
-            slope_chart.require_extra()
+            slope_chart.require_matplotlib()
         points = []
         for parameters in asked:
             points.append(measure(wanted, parameters, repeats))
--- a/lupintack/scale/membership_world.py
+++ b/lupintack/scale/membership_world.py
@@ -57,7 +57,7 @@
         self.exchanges = 0
         self.marks: list[Mark] = []
 
-    def begin_joined(self) -> None:
+    def start_joined(self) -> None:
         """Start all processes, each with the records of all."""
         starts = {name: number + 1 for number, name in enumerate(self.names)}
         records = [
@@ -65,11 +65,11 @@
             for name, start in starts.items()
         ]
         for name, start in starts.items():
-            self._begin_joined_host(self.hosts[name], start, records)
+            self._start_joined_host(self.hosts[name], start, records)
         for name in self.names:
             self.schedule_tick(self.hosts[name])
 
-    def _begin_joined_host(self, host: Host, start: int, records: list[WireRecord]) -> None:
+    def _start_joined_host(self, host: Host, start: int, records: list[WireRecord]) -> None:
         host.start = start
         me = Record(host.name, start, 0, State.JOINING, host.site, f"{host.name}:1")
         random = Random(self.random.getrandbits(64))
@@ -129,9 +129,9 @@
         if other is None:
             return
         for delay_us in self.network.delivery_delays(host.name, other.name):
-            self.clock.schedule(self.clock.now_us + delay_us, self._arrive_raw, other, raw)
+            self.clock.schedule(self.clock.now_us + delay_us, self._receive_raw, other, raw)
 
-    def _arrive_raw(self, host: Host, raw: bytes) -> None:
+    def _receive_raw(self, host: Host, raw: bytes) -> None:
         if host.membership is None:
             return
         began_ns = thread_time_ns()
@@ -152,7 +152,7 @@
     return Membership(me, config, random, seeds, codec.encoded_size)
 
 
-def regions_of(routers: int) -> int:
+def region_count(routers: int) -> int:
     """Return the number of regions of a fleet."""
     return max(1, min(MAX_REGIONS, routers // MIN_ROUTERS_PER_REGION))
 
@@ -161,18 +161,18 @@
     """The cost of the routers of one region, of the others, or of all between two marks."""
 
     def __init__(
-        self, first: Mark, last: Mark, world: JoinedWorld, region: str = "", away: bool = True
+        self, first: Mark, last: Mark, world: JoinedWorld, region: str = "", inside: bool = True
     ) -> None:
         """Sum up all routers, or with a `region` those in it, or outside of it where `away` is False."""
 
-        def counts(name: str) -> bool:
-            return not region or (name == region) == away
+        def is_selected(name: str) -> bool:
+            return not region or (name == region) == inside
 
-        routers = sum(counts(host.site) for host in world.hosts.values())
+        routers = sum(is_selected(host.site) for host in world.hosts.values())
         self.seconds = (last.at_us - first.at_us) / SECOND_US
-        chosen = [name for name in last.by_region if counts(name)]
-        self.cpu_us = sum(last.by_region[n].cpu_us - first.by_region[n].cpu_us for n in chosen)
-        self.bytes = sum(last.by_region[n].bytes - first.by_region[n].bytes for n in chosen)
+        regions = [name for name in last.by_region if is_selected(name)]
+        self.cpu_us = sum(last.by_region[n].cpu_us - first.by_region[n].cpu_us for n in regions)
+        self.bytes = sum(last.by_region[n].bytes - first.by_region[n].bytes for n in regions)
         self.exchanges = last.exchanges - first.exchanges
         share = 1.0 / (routers * self.seconds)
         self.cpu_us_per_s = self.cpu_us * share
--- a/lupintack/scale/request_path.py
+++ b/lupintack/scale/request_path.py
@@ -24,98 +24,104 @@
 from lupintack.standins.processes import Load, Processes
 
 CLIENTS = 16
-CLASS = "map-tiles"  # what the clients ask for
+SERVICE_CLASS = "map-tiles"  # what the clients ask for
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 IDLE_S = 2.0
 
 
-class Spent(NamedTuple):
+class RequestCost(NamedTuple):
     """One repeat."""
 
     cpu_us: float  # a request
     requests_per_s: float
     core: float  # of one core in use, in the mean
-    other: int  # requests that ended otherwise than with 200
+    failures: int  # requests that ended otherwise than with 200
 
 
-def cpu_s(process: int) -> float:
+def cpu_s(pid: int) -> float:
     """User and system time of a process so far."""
-    fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def resident_kib(process: int) -> int:
+def resident_kib(pid: int) -> int:
     """Resident memory."""
-    lines = Path(f"/proc/{process}/status").read_text().splitlines()
+    lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS:"))
 
 
-def play(where: tuple[str, int], process: int, seconds: float, idle_core: float) -> Spent:
+def run_load(router_address: tuple[str, int], pid: int, seconds: float, idle_core: float) -> RequestCost:
     """Clients for so long, and what the router spent on each request."""
-    began, before = time.monotonic(), cpu_s(process)
-    load = Load(where, CLIENTS)
+    began, cpu_before_s = time.monotonic(), cpu_s(pid)
+    load = Load(router_address, CLIENTS)
     time.sleep(seconds)
     outcomes = load.stop()
-    took = time.monotonic() - began
-    busy = cpu_s(process) - before - idle_core * took
+    elapsed_s = time.monotonic() - began
+    spent_s = cpu_s(pid) - cpu_before_s - idle_core * elapsed_s
     served = outcomes.get("200", 0)
-    return Spent(busy * 1e6 / max(1, served), served / took, busy / took, sum(outcomes.values()) - served)
+    return RequestCost(
+        spent_s * 1e6 / max(1, served),
+        served / elapsed_s,
+        spent_s / elapsed_s,
+        sum(outcomes.values()) - served,
+    )
 
 
-def idle(repeats: int, seconds: float) -> dict[str, float]:
+def measure_idle(repeats: int, seconds: float) -> dict[str, float]:
     """A router process that nobody asks for anything."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Processes(Path(folder))
+        processes = Processes(Path(folder))
         try:
-            router, _ = site.start()
+            router, _ = processes.start()
             time.sleep(IDLE_S)
-            found = [idle_us(router.pid, seconds) for _ in range(repeats)]
+            times = [idle_us(router.pid, seconds) for _ in range(repeats)]
             resident = resident_kib(router.pid)
         finally:
-            site.close()
+            processes.close()
     return {
         "body_bytes": 0,
-        "cpu_us": round(statistics.median(found)),
-        "cpu_us_min": round(min(found)),
-        "cpu_us_max": round(max(found)),
+        "cpu_us": round(statistics.median(times)),
+        "cpu_us_min": round(min(times)),
+        "cpu_us_max": round(max(times)),
         "repeats": repeats,
         "rss_kib": resident,
     }
 
 
-def idle_us(process: int, seconds: float) -> float:
+def idle_us(pid: int, seconds: float) -> float:
     """Processor time of a second, over some."""
-    began, before = time.monotonic(), cpu_s(process)
+    began, cpu_before_s = time.monotonic(), cpu_s(pid)
     time.sleep(seconds)
-    return (cpu_s(process) - before) * 1e6 / (time.monotonic() - began)
+    return (cpu_s(pid) - cpu_before_s) * 1e6 / (time.monotonic() - began)
 
 
 def measure(size: int, repeats: int, seconds: float) -> dict[str, float]:
     """All repeats of one size of answers, on one router process."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Processes(Path(folder), fleet=Fleet(Terms(sizes=SIZES | {CLASS: size})))
+        processes = Processes(Path(folder), fleet=Fleet(Terms(sizes=SIZES | {SERVICE_CLASS: size})))
         try:
-            router, _ = site.start()
+            router, _ = processes.start()
             time.sleep(0.5)
-            before = cpu_s(router.pid)
+            cpu_before_s = cpu_s(router.pid)
             time.sleep(IDLE_S)
-            idle_core = (cpu_s(router.pid) - before) / IDLE_S
-            play(site.listen, router.pid, seconds / 2, idle_core)  # copies and connections are there then
-            found = [play(site.listen, router.pid, seconds, idle_core) for _ in range(repeats)]
+            idle_core = (cpu_s(router.pid) - cpu_before_s) / IDLE_S
+            # This run fills the local caches and opens the connections.
+            run_load(processes.listen, router.pid, seconds / 2, idle_core)
+            costs = [run_load(processes.listen, router.pid, seconds, idle_core) for _ in range(repeats)]
             resident = resident_kib(router.pid)
         finally:
-            site.close()
-    times = [one.cpu_us for one in found]
+            processes.close()
+    times = [cost.cpu_us for cost in costs]
     return {
         "body_bytes": size,
         "cpu_us": round(statistics.median(times), 1),
         "cpu_us_min": round(min(times), 1),
         "cpu_us_max": round(max(times), 1),
         "repeats": repeats,
-        "requests_per_s": round(statistics.median(one.requests_per_s for one in found), 1),
-        "core": round(statistics.median(one.core for one in found), 3),
+        "requests_per_s": round(statistics.median(cost.requests_per_s for cost in costs), 1),
+        "core": round(statistics.median(cost.core for cost in costs), 3),
         "idle_core": round(idle_core, 4),
-        "not_200": sum(one.other for one in found),
+        "not_200": sum(cost.failures for cost in costs),
         "rss_kib": resident,
     }
 
@@ -127,8 +133,8 @@
 def main(sizes: str, repeats: int, seconds: float) -> None:
     """Measure each size."""
     for size in (int(text) for text in sizes.split(",")):
-        found = measure(size, repeats, seconds) if size else idle(repeats, seconds)
-        click.echo(json.dumps(found))
+        result = measure(size, repeats, seconds) if size else measure_idle(repeats, seconds)
+        click.echo(json.dumps(result))
 
 
 if __name__ == "__main__":
--- a/lupintack/scale/resources.py
+++ b/lupintack/scale/resources.py
@@ -17,18 +17,18 @@
 WATCHERS_PER_DISCOVERY = 500
 
 # Descriptors
-PER_ROUTER = 5  # datagrams, listener, its selector, discovery, the lock of its name
-PER_PROCESS = 64  # standard streams, libraries, and room for exchanges that come and go
+DESCRIPTORS_PER_ROUTER = 5  # datagrams, listener, its selector, discovery, the lock of its name
+DESCRIPTORS_PER_PROCESS = 64  # standard streams, libraries, and room for exchanges that come and go
 EXCHANGES_PER_ROUTER = 2  # beyond those, on average, at the busiest moment
 
 # Memory in bytes, a little over what runs of 50, 100 and 200 took, and tables of 1,000 and 3,000 records
-COORDINATOR = 32 * MIB
-HOLLOW_PROCESS = 28 * MIB
-PER_HOLLOW_ROUTER = 120 * 1024
-PER_RECORD = 700  # of one other router at one router
-DISCOVERY_PROCESS = 28 * MIB
-PER_WATCHER = 32 * 1024
-REAL_PROCESS = 45 * MIB
+COORDINATOR_BYTES = 32 * MIB
+HOLLOW_PROCESS_BYTES = 28 * MIB
+HOLLOW_ROUTER_BYTES = 120 * 1024
+RECORD_BYTES = 700  # of one other router at one router
+DISCOVERY_PROCESS_BYTES = 28 * MIB
+WATCHER_BYTES = 32 * 1024
+REAL_PROCESS_BYTES = 45 * MIB
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,23 +63,29 @@
 
 def plan_processes(size: FleetSize, hollow: int, real: int, machine: Machine) -> Processes:
     """The processes of a run; `hollow`: as wanted, 0 for what suits the machine."""
-    fitting = min(PROCESSES_PER_CORE * machine.cores, -(-size.routers // MIN_ROUTERS_PER_PROCESS))
-    return Processes(min(hollow or fitting, size.routers), -(-size.routers // WATCHERS_PER_DISCOVERY), real)
+    default_count = min(PROCESSES_PER_CORE * machine.cores, -(-size.routers // MIN_ROUTERS_PER_PROCESS))
+    return Processes(
+        min(hollow or default_count, size.routers), -(-size.routers // WATCHERS_PER_DISCOVERY), real
+    )
 
 
 def estimate_memory(size: FleetSize, processes: Processes) -> int:
     """Bytes that all processes of a run will take."""
-    per_router = PER_HOLLOW_ROUTER + PER_RECORD * size.routers + PER_WATCHER
-    fixed = COORDINATOR + processes.hollow * HOLLOW_PROCESS + processes.discovery * DISCOVERY_PROCESS
-    return fixed + size.routers * per_router + processes.real * REAL_PROCESS
+    per_router = HOLLOW_ROUTER_BYTES + RECORD_BYTES * size.routers + WATCHER_BYTES
+    fixed = (
+        COORDINATOR_BYTES
+        + processes.hollow * HOLLOW_PROCESS_BYTES
+        + processes.discovery * DISCOVERY_PROCESS_BYTES
+    )
+    return fixed + size.routers * per_router + processes.real * REAL_PROCESS_BYTES
 
 
 def estimate_descriptors(size: FleetSize, processes: Processes) -> int:
     """Descriptors of the process that needs most."""
     routers = -(-size.routers // processes.hollow)
-    hollow = PER_PROCESS + routers * (PER_ROUTER + EXCHANGES_PER_ROUTER)
-    discovery = PER_PROCESS + WATCHERS_PER_DISCOVERY
-    coordinator = PER_PROCESS + 2 * processes.total
+    hollow = DESCRIPTORS_PER_PROCESS + routers * (DESCRIPTORS_PER_ROUTER + EXCHANGES_PER_ROUTER)
+    discovery = DESCRIPTORS_PER_PROCESS + WATCHERS_PER_DISCOVERY
+    coordinator = DESCRIPTORS_PER_PROCESS + 2 * processes.total
     return max(hollow, discovery, coordinator)
 
 
@@ -87,9 +93,9 @@
     """Raise ScaleError where the machine does not allow the run."""
     if processes.total > MAX_PROCESSES:
         raise ScaleError(f"processes: {processes.total} would run, at most {MAX_PROCESSES} may")
-    wanted, allowed = estimate_memory(size, processes), min(MAX_MEMORY_BYTES, machine.memory_bytes // 2)
-    if wanted > allowed:
-        raise ScaleError(f"memory: about {wanted // MIB} MiB would be taken, {allowed // MIB} MiB may be")
+    needed, allowed = estimate_memory(size, processes), min(MAX_MEMORY_BYTES, machine.memory_bytes // 2)
+    if needed > allowed:
+        raise ScaleError(f"memory: about {needed // MIB} MiB would be taken, {allowed // MIB} MiB may be")
     descriptors = estimate_descriptors(size, processes)
     if descriptors > machine.descriptors:
         raise ScaleError(
--- a/lupintack/scale/role_allocator.py
+++ b/lupintack/scale/role_allocator.py
@@ -21,9 +21,9 @@
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
 COMMON_BUDGETS = 3  # wanted by every holder
-UNITS_PER_HOLDER = 10  # of a common budget's whole
+COMMON_UNITS_PER_HOLDER = 10  # of a common budget's whole
 SITE_UNITS = 32  # the whole of a site's budget
-CHANGE_CHANCE = 0.25  # that a holder's demand is another than in its last request
+DEMAND_CHANGE_PROBABILITY = 0.25  # that a holder's demand is another than in its last request
 MIN_REQUESTS = 150  # in one repeat
 SHARE_INTERVALS = 3  # in one repeat, at the least
 NEWCOMERS = 3
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class HolderState:
+class SimulatedHolder:
     """One holder as the measurement plays it."""
 
     name: str
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class FilledAllocator(Allocator):
+class FillableAllocator(Allocator):
     """Works out no shares while its ledger is filled: each newcomer would have it done for all."""
 
     filling: bool = field(default=False)
@@ -62,11 +62,12 @@
         self.terms = Terms()
         self.now_us = 1_000_000_000
         self.epoch = Epoch(1, "n0", 1)
-        wholes = [
-            UNITS_PER_HOLDER * self.size if n < COMMON_BUDGETS else SITE_UNITS for n in range(self.budgets)
+        totals = [
+            COMMON_UNITS_PER_HOLDER * self.size if n < COMMON_BUDGETS else SITE_UNITS
+            for n in range(self.budgets)
         ]
         elected_us = self.now_us - 2 * self.terms.lease_us
-        self.allocator = FilledAllocator(self.epoch, tuple(wholes), self.terms, elected_us)
+        self.allocator = FillableAllocator(self.epoch, tuple(totals), self.terms, elected_us)
         self.codec = BudgetCodec(MessageCodec("slope", "a secret of this run"), self.budgets)
         self.holders = [self.new_holder(f"n{number}", number) for number in range(self.size)]
         self.step_us = max(1, self.terms.request_interval_us // self.size)
@@ -74,7 +75,7 @@
         self.newcomers = 0
         self.fill()
 
-    def new_holder(self, name: str, number: int) -> HolderState:
+    def new_holder(self, name: str, number: int) -> SimulatedHolder:
         """A holder that wants the common budgets, and its site's."""
         sites = max(0, self.budgets - COMMON_BUDGETS)
         demand = [0] * self.budgets
@@ -82,11 +83,11 @@
             demand[n] = self.common_demand()
         if sites:
             demand[COMMON_BUDGETS + number % sites] = self.random.randrange(1, 8)
-        return HolderState(name, tuple(demand), held=(0,) * self.budgets)
+        return SimulatedHolder(name, tuple(demand), held=(0,) * self.budgets)
 
     def common_demand(self) -> int:
         """About as much as there is, in the mean."""
-        return self.random.randrange(2 * UNITS_PER_HOLDER)
+        return self.random.randrange(2 * COMMON_UNITS_PER_HOLDER)
 
     def fill(self) -> None:
         """Each holder's first request, at one moment; then one with shares."""
@@ -97,9 +98,9 @@
         self.allocator.shares_computed_us = -1
         self.step()
 
-    def next_request(self, holder: HolderState) -> LeaseRequest:
+    def next_request(self, holder: SimulatedHolder) -> LeaseRequest:
         """What a holder says next; now and then its demand is another."""
-        if self.random.random() < CHANGE_CHANCE:
+        if self.random.random() < DEMAND_CHANGE_PROBABILITY:
             n = self.random.randrange(min(COMMON_BUDGETS, self.budgets))
             holder.demand = (*holder.demand[:n], self.common_demand(), *holder.demand[n + 1 :])
         holder.sequence += 1
@@ -108,14 +109,14 @@
             holder.name, 1, holder.sequence, self.epoch, holder.demand, holder.held, in_use=in_use
         )
 
-    def request(self, holder: HolderState) -> int:
+    def request(self, holder: SimulatedHolder) -> int:
         """One request; the processor time of the allocator, in nanoseconds."""
-        asked = self.next_request(holder)
+        lease_request = self.next_request(holder)
         began = thread_time_ns()
-        granted = self.allocator.handle_request(asked, self.now_us)
+        grant = self.allocator.handle_request(lease_request, self.now_us)
         spent = thread_time_ns() - began
-        assert granted is not None
-        holder.held = granted.amounts
+        assert grant is not None
+        holder.held = grant.amounts
         return spent
 
     def step(self) -> int:
@@ -130,7 +131,7 @@
         requests = max(MIN_REQUESTS, math.ceil(SHARE_INTERVALS * per_interval))
         cpu_us = sum(self.step() for _ in range(requests)) / 1000 / requests
         requests_per_s = self.size * MICROSECONDS / self.terms.request_interval_us
-        request_bytes, grant_bytes, codec_us = self.wire(self.holders[self.turn])
+        request_bytes, grant_bytes, codec_us = self.measure_codec(self.holders[self.turn])
         details = {
             "requests_per_s": round(requests_per_s, 2),
             "core_share": round((cpu_us + codec_us) * requests_per_s / MICROSECONDS, 4),
@@ -141,17 +142,17 @@
         }
         return Sample(round(cpu_us, 3), request_bytes + grant_bytes, 2.0, details)
 
-    def wire(self, holder: HolderState) -> tuple[float, float, float]:
+    def measure_codec(self, holder: SimulatedHolder) -> tuple[float, float, float]:
         """Bytes of a request and a grant, and what the allocator's codec spends on the two."""
-        asked = LeaseRequest(
+        lease_request = LeaseRequest(
             holder.name, 1, holder.sequence, self.epoch, holder.demand, holder.held, in_use=holder.held
         )
-        granted = LeaseGrant(self.epoch, holder.name, 1, holder.sequence, holder.held)
-        raw = self.codec.encode(holder.name, "192.0.2.10:9092", asked)
+        grant = LeaseGrant(self.epoch, holder.name, 1, holder.sequence, holder.held)
+        raw = self.codec.encode(holder.name, "192.0.2.10:9092", lease_request)
         began = thread_time_ns()
         for _ in range(MIN_REQUESTS):
             self.codec.decode(raw)
-            answer = self.codec.encode("n0", "192.0.2.11:9092", granted)
+            answer = self.codec.encode("n0", "192.0.2.11:9092", grant)
         codec_us = (thread_time_ns() - began) / 1000 / MIN_REQUESTS
         return float(len(raw)), float(len(answer)), round(codec_us, 3)
 
--- a/lupintack/scale/role_cut.py
+++ b/lupintack/scale/role_cut.py
@@ -15,9 +15,9 @@
     SECOND_US,
     JoinedWorld,
     Phase,
-    regions_of,
+    region_count,
 )
-from lupintack.scale.role_membership import ENTRY_BYTES, running_part
+from lupintack.scale.role_membership import ENTRY_BYTES, running_membership
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
 IDLE_FROM_S = 4
@@ -33,7 +33,7 @@
     def __init__(self, parameters: Parameters) -> None:
         """A fleet of the size of `parameters`."""
         self.size, self.seed = parameters.size, parameters.seed
-        self.regions = regions_of(self.size)
+        self.regions = region_count(self.size)
         self.world: JoinedWorld | None = None
 
     def sample(self) -> Sample:
@@ -44,33 +44,33 @@
         cut = Fault(CUT_FROM_S * SECOND_US, "site", length_us, (region,))
         world = self.world = JoinedWorld(self.seed, self.size, [cut], self.regions)
         self.seed += 1
-        world.begin_joined()
+        world.start_joined()
         world.schedule(PHASES_S)
         world.run_to(HEALED_TO_S * SECOND_US)
         idle, during, after = pairwise(world.marks)
-        off, rest = Phase(*during, world, region), Phase(*during, world, region, away=False)
-        healing_off, healing_rest = Phase(*after, world, region), Phase(*after, world, region, away=False)
+        cut_off, rest = Phase(*during, world, region), Phase(*during, world, region, inside=False)
+        healing, healing_rest = Phase(*after, world, region), Phase(*after, world, region, inside=False)
         details = {
             "routers_cut_off": float(sum(host.site == region for host in world.hosts.values())),
             "idle_cpu_us": Phase(*idle, world).cpu_us_per_s,
             "rest_cpu_us": rest.cpu_us_per_s,
             "rest_bytes": rest.bytes_per_s,
-            "healing_cpu_us": healing_off.cpu_us_per_s,
-            "healing_bytes": healing_off.bytes_per_s,
+            "healing_cpu_us": healing.cpu_us_per_s,
+            "healing_bytes": healing.bytes_per_s,
             "healing_rest_cpu_us": healing_rest.cpu_us_per_s,
             "healing_rest_bytes": healing_rest.bytes_per_s,
-            "healing_exchanges": float(healing_off.exchanges),
+            "healing_exchanges": float(healing.exchanges),
             "views_at_end": float(len({world.view_id(host) for host in world.running()})),
             "false_removals": float(world.result.false_removals),
         }
         rounded = {name: round(value, 3) for name, value in details.items()}
-        return Sample(round(off.cpu_us_per_s, 3), round(off.bytes_per_s, 1), 0.0, rounded)
+        return Sample(round(cut_off.cpu_us_per_s, 3), round(cut_off.bytes_per_s, 1), 0.0, rounded)
 
     def state_bytes(self) -> int:
         """Of one router's view and verdicts."""
         assert self.world is not None
-        part = running_part(self.world)
-        return deep_bytes(part.view, part.state.arbiter, part.detector.observed)
+        membership = running_membership(self.world)
+        return deep_bytes(membership.view, membership.state.arbiter, membership.detector.observed)
 
     def close(self) -> None:
         """Nothing is open."""
--- a/lupintack/scale/role_discovery.py
+++ b/lupintack/scale/role_discovery.py
@@ -46,16 +46,16 @@
         """One purge."""
         self.number += 1
         asset = f"{self.number:016x}"
-        self.watchers.begin(asset.encode())
+        self.watchers.start_waiting(asset.encode())
         time.sleep(SETTLE_S)
         began_us, began = time.monotonic_ns() // 1000, thread_time_ns()
         self.discovery_server.purge(asset)
         cpu_us = (thread_time_ns() - began) / 1000
-        found = self.watchers.arrivals()
+        arrivals = self.watchers.arrivals()
         details = {
-            "first_s": round((found.first_us - began_us) / 1e6, 4),
-            "last_s": round((found.last_us - began_us) / 1e6, 4),
-            "missing": float(found.missing),
+            "first_s": round((arrivals.first_us - began_us) / 1e6, 4),
+            "last_s": round((arrivals.last_us - began_us) / 1e6, 4),
+            "missing": float(arrivals.missing),
             "idle_bytes_per_s_per_watcher": round(self.idle_bytes_per_s, 2),
         }
         return Sample(cpu_us, len(self.discovery_server.events[-1][1]), float(self.size), details)
--- a/lupintack/scale/role_membership.py
+++ b/lupintack/scale/role_membership.py
@@ -17,7 +17,7 @@
 from lupintack.lab.faults import Fault
 from lupintack.membership.messages import FullState
 from lupintack.membership.state_machine import Membership
-from lupintack.scale.membership_world import SECOND_US, JoinedWorld, Phase, regions_of
+from lupintack.scale.membership_world import SECOND_US, JoinedWorld, Phase, region_count
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
 IDLE_FROM_S, IDLE_TO_S = 6, 14
@@ -26,7 +26,7 @@
 SILENT_TO_S = 64
 PHASES_S = (IDLE_FROM_S, IDLE_TO_S, RESTARTS_TO_S, KILLS_TO_S, SILENT_TO_S)
 RESTARTS, KILLS, SILENT = 4, 2, 2
-EVENTS_S = 1.0  # between two events of one kind
+EVENT_INTERVAL_S = 1.0  # between two events of one kind
 DATAGRAMS = 2000
 DATAGRAM_BYTES = 200
 ENTRY_BYTES = 700  # of one router's view, by what was measured
@@ -44,9 +44,9 @@
     def build(self) -> JoinedWorld:
         """A world that is joined, and its marks."""
         names = [f"n{number}" for number in range(self.size)]
-        world = JoinedWorld(self.seed, self.size, script(names), regions_of(self.size))
+        world = JoinedWorld(self.seed, self.size, script(names), region_count(self.size))
         self.seed += 1
-        world.begin_joined()
+        world.start_joined()
         world.schedule(PHASES_S)
         return world
 
@@ -55,8 +55,8 @@
         self.world = None  # the one before is freed first
         world = self.world = self.build()
         world.run_to(SILENT_TO_S * SECOND_US)
-        idle, restarts, _, _ = [Phase(one, other, world) for one, other in pairwise(world.marks)]
-        found = world.result
+        idle, restarts, _, _ = [Phase(first, last, world) for first, last in pairwise(world.marks)]
+        result = world.result
         detections = [mark.detections for mark in world.marks]
         per_restart = 1.0 / (RESTARTS * self.size)
         idle_times = restarts.seconds / idle.seconds
@@ -65,14 +65,14 @@
             "restart_bytes_per_router": (restarts.bytes - idle.bytes * idle_times) * per_restart,
             "restart_cpu_us_per_router": (restarts.cpu_us - idle.cpu_us * idle_times) * per_restart,
             "exchanges_per_restart": (restarts.exchanges - idle.exchanges * idle_times) / RESTARTS,
-            "kill_told_p50_s": told_s(found.detect_us[detections[2] : detections[3]], median),
-            "kill_told_max_s": told_s(found.detect_us[detections[2] : detections[3]], max),
-            "silent_told_p50_s": told_s(found.detect_us[detections[3] :], median),
-            "silent_told_max_s": told_s(found.detect_us[detections[3] :], max),
-            "false_removals": float(found.false_removals),
+            "kill_told_p50_s": detection_s(result.detect_us[detections[2] : detections[3]], median),
+            "kill_told_max_s": detection_s(result.detect_us[detections[2] : detections[3]], max),
+            "silent_told_p50_s": detection_s(result.detect_us[detections[3] :], median),
+            "silent_told_max_s": detection_s(result.detect_us[detections[3] :], max),
+            "false_removals": float(result.false_removals),
         }
-        details |= status_page(running_part(world))
-        details |= full_exchange(world, running_part(world))
+        details |= status_page(running_membership(world))
+        details |= full_exchange(world, running_membership(world))
         rounded = {name: round(value, 3) for name, value in details.items()}
         return Sample(
             round(idle.cpu_us_per_s, 3), round(idle.bytes_per_s, 1), round(idle.messages_per_s, 2), rounded
@@ -81,14 +81,14 @@
     def state_bytes(self) -> int:
         """Of one router, what it shares with no other."""
         assert self.world is not None
-        one = running_part(self.world)
+        membership = running_membership(self.world)
         return deep_bytes(
-            one.view,
-            one.state.rings,
-            one.detector.observed,
-            one.replay_filter.senders,
-            one.state.gossip.queued,
-            one.state.notifier.notified,
+            membership.view,
+            membership.state.rings,
+            membership.detector.observed,
+            membership.replay_filter.senders,
+            membership.state.gossip.queued,
+            membership.state.notifier.notified,
         )
 
     def close(self) -> None:
@@ -96,17 +96,17 @@
         self.world = None
 
 
-def running_part(world: JoinedWorld) -> Membership:
+def running_membership(world: JoinedWorld) -> Membership:
     """The membership of a router that runs."""
     return next(host.membership for host in world.hosts.values() if isinstance(host.membership, Membership))
 
 
-def status_page(part: Membership) -> dict[str, float]:
+def status_page(membership: Membership) -> dict[str, float]:
     """What `lupintack fleet status` costs the router that is asked: its answer with all members."""
-    place = FleetAddress("n0", "site0", ("127.0.0.1", 0), "slope", "a secret of this run", (), {})
-    fleet = FleetTransport(place, part.config, 1, lambda change: None, lambda: True)
+    fleet_address = FleetAddress("n0", "site0", ("127.0.0.1", 0), "slope", "a secret of this run", (), {})
+    fleet = FleetTransport(fleet_address, membership.config, 1, lambda change: None, lambda: True)
     try:
-        fleet.membership = part
+        fleet.membership = membership
         began = thread_time_ns()
         page = fleet.status_line()
         return {"status_cpu_us": (thread_time_ns() - began) / 1000, "status_bytes": float(len(page))}
@@ -115,51 +115,60 @@
         fleet.close()
 
 
-def full_exchange(world: JoinedWorld, part: Membership) -> dict[str, float]:
+def full_exchange(world: JoinedWorld, membership: Membership) -> dict[str, float]:
     """What a router that joins costs the seed that it asks: its frame read, the answer with all records."""
-    me = (part.name, part.me.start, part.me.incarnation, int(part.me.state), part.me.site, part.me.address)
-    asked = world.codec.encode(FullState(me, 0, []))
+    me = (
+        membership.name,
+        membership.me.start,
+        membership.me.incarnation,
+        int(membership.me.state),
+        membership.me.site,
+        membership.me.address,
+    )
+    request = world.codec.encode(FullState(me, 0, []))
     began = thread_time_ns()
-    answer, _ = part.on_full_state(world.codec.decode_full_state(asked), world.clock.now_us)
+    answer, _ = membership.on_full_state(world.codec.decode_full_state(request), world.clock.now_us)
     raw = world.codec.encode(answer)
     return {
         "exchange_cpu_us": (thread_time_ns() - began) / 1000,
-        "exchange_bytes": float(len(asked) + len(raw)),
+        "exchange_bytes": float(len(request) + len(raw)),
     }
 
 
-def told_s(times_us: list[int], of: object) -> float:
+def detection_s(times_us: list[int], statistic: object) -> float:
     """A figure of the times from an event to each router that was told of it; 0 where there were none."""
     if not times_us:
         return 0.0
-    return (max(times_us) if of is max else median(times_us)) / SECOND_US
+    return (max(times_us) if statistic is max else median(times_us)) / SECOND_US
 
 
 def script(names: list[str]) -> list[Fault]:
     """Restarts, kills and silences, of routers that are no seeds, as far as there are so many."""
     victims = iter(names[3:])
-    found = []
+    faults = []
     plans = (("restart", RESTARTS, IDLE_TO_S), ("kill", KILLS, RESTARTS_TO_S), ("vanish", SILENT, KILLS_TO_S))
     for kind, count, from_s in plans:
         for number in range(count):
             name = next(victims, None)
             if name is not None:
-                found.append(Fault(int((from_s + number * EVENTS_S) * SECOND_US) + 1, kind, 0, (name,)))
-    return found
+                faults.append(
+                    Fault(int((from_s + number * EVENT_INTERVAL_S) * SECOND_US) + 1, kind, 0, (name,))
+                )
+    return faults
 
 
 def datagram_us() -> float:
     """Processor time of one datagram's way out of a socket and into another, both system calls."""
     with (
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one,
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
     ):
-        other.bind(("127.0.0.1", 0))
-        where, raw = other.getsockname(), bytes(DATAGRAM_BYTES)
+        receiver.bind(("127.0.0.1", 0))
+        destination, raw = receiver.getsockname(), bytes(DATAGRAM_BYTES)
         began = thread_time_ns()
         for _ in range(DATAGRAMS):
-            one.sendto(raw, where)
-            other.recvfrom(2048)
+            sender.sendto(raw, destination)
+            receiver.recvfrom(2048)
         return round((thread_time_ns() - began) / 1000 / DATAGRAMS, 3)
 
 
--- a/lupintack/scale/role_purge.py
+++ b/lupintack/scale/role_purge.py
@@ -22,24 +22,26 @@
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
 PURGES_PER_S = 25  # of the fleet that is planned for
-SETTLES_MS = 6000.0
+PURGE_SETTLE_MS = 6000.0
 COPY_BYTES = 10_000
 COPIES = 2_000  # own copies of that size: about what 168 MB of spare memory has room for
 COPY_PURGES = 100  # in one repeat with own copies
 LINK_BYTES_PER_S = 1e9
 
 
-class Reader:
+class PurgeReader:
     """Discovery's reader, the member table and the core of one router; all on the calling thread."""
 
     def __init__(self, seed: int, copies: int = 0) -> None:
         """A purge table, and `copies` of objects that purges meet."""
-        known = Settings(classes=(ServiceClass(name="a", deadline_ms=5000.0),), purge_settle_ms=SETTLES_MS)
-        self.member_table = MemberTable(known.purge_settle_ms)
+        settings = Settings(
+            classes=(ServiceClass(name="a", deadline_ms=5000.0),), purge_settle_ms=PURGE_SETTLE_MS
+        )
+        self.member_table = MemberTable(settings.purge_settle_ms)
         self.copies = LocalCache((COPY_BYTES + 600) * 4 * copies, LINK_BYTES_PER_S) if copies else None
-        self.core = Core(known, seed, self.member_table, no_connection, self.copies)
+        self.core = Core(settings, seed, self.member_table, no_connection, self.copies)
         self.member_table.notify = self.core.on_endpoints_changed
-        self.lines = LineBuffer(0, SILENCE_TIMEOUT_S)
+        self.line_buffer = LineBuffer(0, SILENCE_TIMEOUT_S)
         self.discovery = DiscoveryClient(None, Names(("a",), ("z",), ("box",), ()), self.member_table, seed)
         issued_ms = int(time.time() * 1000)
         for number in range(copies):
@@ -49,7 +51,7 @@
 
     def read(self, raw: bytes) -> None:
         """One line, all the way."""
-        self.discovery.process_line(raw, self.lines)
+        self.discovery.process_line(raw, self.line_buffer)
         update = self.member_table.mailbox.get_nowait()
         assert update is not None
         self.member_table.receive(update)
@@ -61,15 +63,15 @@
     def __init__(self, parameters: Parameters) -> None:
         """The table of a router before its first purge."""
         self.size, self.seed = parameters.size, parameters.seed
-        self.reader = Reader(self.seed)
+        self.reader = PurgeReader(self.seed)
 
     def sample(self) -> Sample:
         """One repeat: three routers, each of its own."""
-        now_lines, missed_lines = lines(self.size, 0.0), lines(self.size, 1000.0 / PURGES_PER_S)
-        self.reader = Reader(self.seed)
-        now_us = purges_us(self.reader, now_lines)
-        missed = Reader(self.seed)
-        missed_us = purges_us(missed, missed_lines)
+        now_lines, missed_lines = purge_lines(self.size, 0.0), purge_lines(self.size, 1000.0 / PURGES_PER_S)
+        self.reader = PurgeReader(self.seed)
+        now_us = purge_cpu_us(self.reader, now_lines)
+        missed = PurgeReader(self.seed)
+        missed_us = purge_cpu_us(missed, missed_lines)
         details = {
             "all_s": round(now_us * self.size / 1e6, 3),
             "missed_cpu_us": missed_us,
@@ -78,7 +80,7 @@
             "missed_at_module": float(len(missed.core.router.purges.purge_times)),
             "floor_binds_all": float(self.reader.member_table.purge_memory.forgotten_purge > 0),
             "module_floor_binds_all": float(self.reader.core.router.purges.floor_ms > 0),
-            "copies_cpu_us": purges_us(Reader(self.seed, COPIES), lines(COPY_PURGES, 0.0)),
+            "copies_cpu_us": purge_cpu_us(PurgeReader(self.seed, COPIES), purge_lines(COPY_PURGES, 0.0)),
         }
         return Sample(now_us, sum(map(len, now_lines)) / self.size, 1.0, details)
 
@@ -92,23 +94,23 @@
         """Nothing is open."""
 
 
-def purges_us(reader: Reader, told: list[bytes]) -> float:
+def purge_cpu_us(reader: PurgeReader, raw_lines: list[bytes]) -> float:
     """Processor time of one purge, over all lines."""
     began = thread_time_ns()
-    for raw in told:
+    for raw in raw_lines:
         reader.read(raw)
-    return round((thread_time_ns() - began) / 1000 / len(told), 3)
+    return round((thread_time_ns() - began) / 1000 / len(raw_lines), 3)
 
 
-def lines(count: int, apart_ms: float) -> list[bytes]:
+def purge_lines(count: int, interval_ms: float) -> list[bytes]:
     """Purges of different objects as discovery words them, the last of this moment, the others before it."""
     now_ms = int(time.time() * 1000)
-    found = []
+    raw_lines = []
     for number in range(1, count + 1):
-        moment_ms = int(now_ms - (count - number) * apart_ms)
-        flush = {"asset": f"{number:016x}", "ms": moment_ms}
-        found.append(json.dumps({"rev": number, "flush": flush}).encode())
-    return found
+        purge_ms = int(now_ms - (count - number) * interval_ms)
+        flush = {"asset": f"{number:016x}", "ms": purge_ms}
+        raw_lines.append(json.dumps({"rev": number, "flush": flush}).encode())
+    return raw_lines
 
 
 def no_connection(number: int, host: Endpoint) -> MemberLink:
--- a/lupintack/scale/role_reload.py
+++ b/lupintack/scale/role_reload.py
@@ -34,14 +34,14 @@
         self.folder = tempfile.TemporaryDirectory()
         self.file = Path(self.folder.name) / "config.json"
         self.environ = {"EDGE_CONFIG": str(self.file)}
-        self.told = configuration(parameters.size)
-        self.hosts = self.told["known"]["notices"][0]["pool"]["hosts"]
+        self.platform_config = configuration(parameters.size)
+        self.hosts = self.platform_config["known"]["notices"][0]["pool"]["hosts"]
         self.version = 0
         self.write()
         self.node = Node(config.load(self.environ))
         self.node.member_table.notify = self.node.core.on_endpoints_changed
-        self.node.discovery.load_initial_log(self.told["known"])
-        self.take_list()
+        self.node.discovery.load_initial_log(self.platform_config["known"])
+        self.receive_updates()
         self.log = logging.getLogger("lupintack")
         self.log_level = self.log.level
         self.log.setLevel(logging.CRITICAL)
@@ -49,8 +49,8 @@
     def write(self) -> None:
         """A file that differs from the last one by a class's aim."""
         self.version += 1
-        self.told["settings"]["services"][0]["aim"] = 600.0 + self.version
-        self.file.write_text(json.dumps(self.told))
+        self.platform_config["settings"]["services"][0]["aim"] = 600.0 + self.version
+        self.file.write_text(json.dumps(self.platform_config))
 
     def step(self) -> None:
         """One reload."""
@@ -74,8 +74,8 @@
 
     def delta_us(self) -> float:
         """Processor time of an event with one member's line."""
-        lines = [self.hosts[number % len(self.hosts)] for number in range(DELTAS)]
-        times = [self.event_us({"pool": {"seq": 1, "whole": False, "hosts": [line]}}) for line in lines]
+        host_lines = [self.hosts[number % len(self.hosts)] for number in range(DELTAS)]
+        times = [self.event_us({"pool": {"seq": 1, "whole": False, "hosts": [line]}}) for line in host_lines]
         return round(sum(times) / DELTAS, 3)
 
     def event_us(self, event: dict[str, Any]) -> float:
@@ -83,10 +83,10 @@
         raw = json.dumps({"rev": self.node.discovery.last_revision + 1, **event}).encode()
         began = thread_time_ns()
         self.node.discovery.process_line(raw, LineBuffer(0, SILENCE_TIMEOUT_S))
-        self.take_list()
+        self.receive_updates()
         return (thread_time_ns() - began) / 1000
 
-    def take_list(self) -> None:
+    def receive_updates(self) -> None:
         """What the member table's own thread does."""
         while not self.node.member_table.mailbox.empty():
             update = self.node.member_table.mailbox.get_nowait()
@@ -112,11 +112,11 @@
 
 def configuration(members: int) -> dict[str, Any]:
     """The platform's configuration with so many members, most of them caches of the own location."""
-    told = deployment.configuration({}, "127.0.0.1:9")
-    lines = [deployment.line(f"s-{n:05}", f"10.0.{n // 250}.{n % 250 + 1}:7000") for n in range(members)]
-    notice = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": lines}}
-    told["known"] = {"rev": 1, "notices": [notice]}
-    return copy.deepcopy(told)
+    platform_config = deployment.configuration({}, "127.0.0.1:9")
+    host_lines = [deployment.line(f"s-{n:05}", f"10.0.{n // 250}.{n % 250 + 1}:7000") for n in range(members)]
+    notice = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": host_lines}}
+    platform_config["known"] = {"rev": 1, "notices": [notice]}
+    return copy.deepcopy(platform_config)
 
 
 ROLE = Role(
--- a/lupintack/scale/role_request.py
+++ b/lupintack/scale/role_request.py
@@ -14,13 +14,13 @@
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
 LOCATIONS = 140  # sites of the fleet that is planned for
-NEAR = 8  # caches of the own location where the others are elsewhere
+LOCAL_CACHES = 8  # caches of the own location where the others are elsewhere
 FEW_PARENTS = 4
 CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds
 OBJECTS = 500  # well under those whose scores are kept
 NEW_OBJECTS = 1 << 40
 PARTS = 9
-GAP_MS = 80.0  # between two requests
+REQUEST_INTERVAL_MS = 80.0  # between two requests
 ANSWER_MS = 50.0
 DEADLINE_MS = 5000.0
 WARMUP_REQUESTS = 1000
@@ -28,7 +28,7 @@
 LIST_EVENTS = 20
 
 
-class Traffic:
+class RequestTraffic:
     """One router and its requests, one after another."""
 
     def __init__(self, members: list[i.Member], seed: int) -> None:
@@ -42,16 +42,16 @@
 
     def request(self, objects: int = OBJECTS) -> None:
         """One request, and the end of the attempt that it leads to."""
-        self.now_ms += GAP_MS
+        self.now_ms += REQUEST_INTERVAL_MS
         self.number += 1
         object_id = self.number * 7919 % objects
         part = self.number % PARTS
-        asked = i.Request(self.number, 0, object_id, self.now_ms + DEADLINE_MS, part=part)
-        actions = self.router.handle(self.now_ms, [asked])
+        request = i.Request(self.number, 0, object_id, self.now_ms + DEADLINE_MS, part=part)
+        actions = self.router.handle(self.now_ms, [request])
         self.actions += len(actions)
         for action in actions:
             if isinstance(action, i.Fetch):
-                ended = i.AttemptEnded(
+                attempt_ended = i.AttemptEnded(
                     self.number,
                     0,
                     action.member,
@@ -62,7 +62,7 @@
                     0.0,
                     (0.4,),
                 )
-                self.router.handle(self.now_ms + ANSWER_MS, [ended])
+                self.router.handle(self.now_ms + ANSWER_MS, [attempt_ended])
 
     def list_event(self) -> None:
         """One member's line comes again."""
@@ -77,9 +77,9 @@
     def __init__(self, parameters: Parameters) -> None:
         """A router with as many members as `parameters` has."""
         size, seed = parameters.size, parameters.seed
-        self.own = Traffic(members(size, size, FEW_PARENTS), seed)
-        self.elsewhere = Traffic(members(size, min(NEAR, size), FEW_PARENTS), seed)
-        self.parents = Traffic(members(min(NEAR, size), min(NEAR, size), size), seed)
+        self.own = RequestTraffic(members(size, size, FEW_PARENTS), seed)
+        self.elsewhere = RequestTraffic(members(size, min(LOCAL_CACHES, size), FEW_PARENTS), seed)
+        self.parents = RequestTraffic(members(min(LOCAL_CACHES, size), min(LOCAL_CACHES, size), size), seed)
         for traffic in (self.own, self.elsewhere, self.parents):
             for _ in range(WARMUP_REQUESTS):
                 traffic.request()
@@ -91,15 +91,15 @@
     def sample(self) -> Sample:
         """One repeat."""
         before = self.own.actions
-        own_us = requests_us(self.own)
+        own_us = request_cpu_us(self.own)
         actions = (self.own.actions - before) / REQUESTS
         details = {
-            "new_object_cpu_us": requests_us(self.own, NEW_OBJECTS),
-            "elsewhere_cpu_us": requests_us(self.elsewhere),
-            "elsewhere_new_object_cpu_us": requests_us(self.elsewhere, NEW_OBJECTS),
-            "parents_cpu_us": requests_us(self.parents),
-            "parents_new_object_cpu_us": requests_us(self.parents, NEW_OBJECTS),
-            "list_event_cpu_us": list_events_us(self.own),
+            "new_object_cpu_us": request_cpu_us(self.own, NEW_OBJECTS),
+            "elsewhere_cpu_us": request_cpu_us(self.elsewhere),
+            "elsewhere_new_object_cpu_us": request_cpu_us(self.elsewhere, NEW_OBJECTS),
+            "parents_cpu_us": request_cpu_us(self.parents),
+            "parents_new_object_cpu_us": request_cpu_us(self.parents, NEW_OBJECTS),
+            "list_event_cpu_us": list_event_cpu_us(self.own),
         }
         return Sample(own_us, messages=actions, details=details)
 
@@ -111,7 +111,7 @@
         """Nothing is open."""
 
 
-def requests_us(traffic: Traffic, objects: int = OBJECTS) -> float:
+def request_cpu_us(traffic: RequestTraffic, objects: int = OBJECTS) -> float:
     """Processor time of one request, over a repeat; known objects are asked for once before."""
     for _ in range(OBJECTS if objects == OBJECTS else 0):
         traffic.request()
@@ -121,7 +121,7 @@
     return round((thread_time_ns() - began) / 1000 / REQUESTS, 3)
 
 
-def list_events_us(traffic: Traffic) -> float:
+def list_event_cpu_us(traffic: RequestTraffic) -> float:
     """Processor time of one list event alone."""
     began = thread_time_ns()
     for _ in range(LIST_EVENTS):
@@ -129,15 +129,17 @@
     return round((thread_time_ns() - began) / 1000 / LIST_EVENTS, 3)
 
 
-def members(caches: int, near: int, parents: int) -> list[i.Member]:
+def members(caches: int, local_caches: int, parents: int) -> list[i.Member]:
     """Caches, the first `near` in the own location 0, then parents and the origin in one further location."""
-    found = []
+    result = []
     for number in range(caches):
-        location = 0 if number < near else 1 + number % (LOCATIONS - 1)
-        found.append(i.Member(10_000 + number, location, CACHE, 0, i.MemberState.READY, 4.0 + number % 2 * 3))
-    found += [i.Member(100 + n, LOCATIONS, PARENT, 0, i.MemberState.READY, 20.0) for n in range(parents)]
-    found.append(i.Member(1, LOCATIONS, ORIGIN))
-    return found
+        location = 0 if number < local_caches else 1 + number % (LOCATIONS - 1)
+        result.append(
+            i.Member(10_000 + number, location, CACHE, 0, i.MemberState.READY, 4.0 + number % 2 * 3)
+        )
+    result += [i.Member(100 + n, LOCATIONS, PARENT, 0, i.MemberState.READY, 20.0) for n in range(parents)]
+    result.append(i.Member(1, LOCATIONS, ORIGIN))
+    return result
 
 
 def settings() -> i.Settings:
--- a/lupintack/scale/roles.py
+++ b/lupintack/scale/roles.py
@@ -42,22 +42,22 @@
 def sizes(text: str) -> tuple[int, ...]:
     """The sizes that the user named; SlopeError for anything but positive whole numbers."""
     words = [word.strip() for word in text.split(",")]
-    wrong = [word for word in words if not (word.isascii() and word.isdigit() and int(word) > 0)]
-    if wrong:
-        raise SlopeError(f"--sizes: positive whole numbers are wanted, not {wrong[0]!r}")
+    invalid = [word for word in words if not (word.isascii() and word.isdigit() and int(word) > 0)]
+    if invalid:
+        raise SlopeError(f"--sizes: positive whole numbers are wanted, not {invalid[0]!r}")
     return tuple(int(word) for word in words)
 
 
-def check(wanted: Role, parameters: Parameters) -> None:
+def check(role: Role, parameters: Parameters) -> None:
     """SlopeError where the role means nothing at this size, or the machine lacks memory or descriptors."""
-    if parameters.size < wanted.min_size:
-        raise SlopeError(f"--sizes: {parameters.size}: {wanted.min_size} at the least for {wanted.name}")
-    needed, spare = wanted.memory_bytes(parameters), available_bytes() * MEMORY_SHARE
+    if parameters.size < role.min_size:
+        raise SlopeError(f"--sizes: {parameters.size}: {role.min_size} at the least for {role.name}")
+    needed, spare = role.memory_bytes(parameters), available_bytes() * MEMORY_SHARE
     if needed > spare:
         raise SlopeError(
             f"--sizes: {parameters.size}: about {needed >> 20} MiB are needed, {int(spare) >> 20} can be used"
         )
-    descriptors, limit = wanted.descriptors(parameters), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    descriptors, limit = role.descriptors(parameters), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit != resource.RLIM_INFINITY and descriptors > limit:
         raise SlopeError(
             f"--sizes: {parameters.size}: {descriptors} descriptors are needed, the limit is {limit}"
@@ -70,5 +70,5 @@
         lines = MEMORY_FILE.read_text().splitlines()
     except OSError:
         return 1 << 62
-    found = [int(line.split()[1]) * 1024 for line in lines if line.startswith("MemAvailable:")]
-    return found[0] if found else 1 << 62
+    available = [int(line.split()[1]) * 1024 for line in lines if line.startswith("MemAvailable:")]
+    return available[0] if available else 1 << 62
--- a/lupintack/scale/script.py
+++ b/lupintack/scale/script.py
@@ -61,28 +61,28 @@
     except ConfigError as error:
         raise ScaleError(f"--script: {error}") from None
     for number, fault in enumerate(script.fault):
-        where = f"--script: {path.name}: fault[{number}]"
+        location = f"--script: {path.name}: fault[{number}]"
         if fault.at_s >= seconds:
-            raise ScaleError(f"{where}: at_s: {fault.at_s} is not before the end, {seconds}")
+            raise ScaleError(f"{location}: at_s: {fault.at_s} is not before the end, {seconds}")
         for selector in fault.who:
-            check_selector(selector, routers, where)
+            check_selector(selector, routers, location)
     return script
 
 
-def check_selector(selector: str, routers: Sequence[RouterPlan], where: str) -> None:
+def check_selector(selector: str, routers: Sequence[RouterPlan], location: str) -> None:
     """Raise ScaleError where nobody can be meant."""
     kind, _, name = selector.partition(":")
     if kind == "any":
         if not name.isdigit() or not 1 <= int(name) <= len(routers):
-            raise ScaleError(f"{where}: who: any:COUNT is wanted, 1 to {len(routers)}, not {selector!r}")
-    elif name and not matches(kind, name, routers):
-        raise ScaleError(f"{where}: who: {selector!r}: there is no such {kind}")
+            raise ScaleError(f"{location}: who: any:COUNT is wanted, 1 to {len(routers)}, not {selector!r}")
+    elif name and not matching_routers(kind, name, routers):
+        raise ScaleError(f"{location}: who: {selector!r}: there is no such {kind}")
 
 
-def matches(kind: str, name: str, routers: Sequence[RouterPlan]) -> list[str]:
+def matching_routers(kind: str, name: str, routers: Sequence[RouterPlan]) -> list[str]:
     """The routers of a region, zone or site, or one by its name."""
     attribute = "name" if kind == "router" else kind
-    return [one.name for one in routers if getattr(one, attribute) == name]
+    return [router.name for router in routers if getattr(router, attribute) == name]
 
 
 def select(
@@ -93,17 +93,17 @@
     random: Random,
 ) -> tuple[str, ...]:
     """The routers that a fault names, each once, in the order of the plan."""
-    found: set[str] = set()
+    selected: set[str] = set()
     for selector in who:
         kind, _, name = selector.partition(":")
         if kind == "all":
-            found.update(one.name for one in routers)
+            selected.update(router.name for router in routers)
         elif kind in ("voters", "voter"):
-            found.update(voters if kind == "voters" else [random.choice(list(voters))])
+            selected.update(voters if kind == "voters" else [random.choice(list(voters))])
         elif kind == "allocator":
-            found.update(allocators)
+            selected.update(allocators)
         elif kind == "any":
-            found.update(random.sample([one.name for one in routers], int(name)))
+            selected.update(random.sample([router.name for router in routers], int(name)))
         else:
-            found.update(matches(kind, name, routers))
-    return tuple(one.name for one in routers if one.name in found)
+            selected.update(matching_routers(kind, name, routers))
+    return tuple(router.name for router in routers if router.name in selected)
--- a/lupintack/scale/slope.py
+++ b/lupintack/scale/slope.py
@@ -97,11 +97,11 @@
     """A least-squares line."""
 
     slope: float
-    at_zero: float
+    intercept: float
 
     def at(self, size: float) -> float:
         """The line's value."""
-        return self.at_zero + self.slope * size
+        return self.intercept + self.slope * size
 
 
 def measure(role: Role, parameters: Parameters, repeats: int = REPEATS) -> SlopePoint:
@@ -115,7 +115,7 @@
         state_bytes = subject.state_bytes()
     finally:
         subject.close()
-    return point(role, parameters, samples, state_bytes, middle(references))
+    return make_point(role, parameters, samples, state_bytes, rounded_median(references))
 
 
 def reference_us() -> float:
@@ -127,32 +127,34 @@
     return (thread_time_ns() - began) / 1000
 
 
-def point(
+def make_point(
     role: Role, parameters: Parameters, samples: Sequence[Sample], state_bytes: int, reference: float
 ) -> SlopePoint:
     """The repeats of one size as one point."""
     times = [sample.cpu_us for sample in samples]
     names = dict.fromkeys(name for sample in samples for name in sample.details)
-    details = {name: middle([s.details[name] for s in samples if name in s.details]) for name in names}
+    details = {
+        name: rounded_median([s.details[name] for s in samples if name in s.details]) for name in names
+    }
     return SlopePoint(
         role=role.name,
         size=parameters.size,
         budgets=parameters.budgets,
         per=role.per,
-        cpu_us=middle(times),
+        cpu_us=rounded_median(times),
         cpu_us_min=round(min(times), 3),
         cpu_us_max=round(max(times), 3),
         repeats=len(samples),
         seed=parameters.seed,
-        bytes=middle([sample.bytes for sample in samples]),
+        bytes=rounded_median([sample.bytes for sample in samples]),
         state_bytes=state_bytes,
-        messages=middle([sample.messages for sample in samples]),
+        messages=rounded_median([sample.messages for sample in samples]),
         reference_us=reference,
         details=details,
     )
 
 
-def middle(values: Sequence[float]) -> float:
+def rounded_median(values: Sequence[float]) -> float:
     """The median, to three places."""
     return round(statistics.median(values), 3)
 
@@ -161,8 +163,8 @@
     """The least-squares line through the points; a flat one through a single size."""
     if len(set(sizes)) < 2:
         return Line(0.0, statistics.fmean(values))
-    found = statistics.linear_regression(sizes, values)
-    return Line(found.slope, found.intercept)
+    regression = statistics.linear_regression(sizes, values)
+    return Line(regression.slope, regression.intercept)
 
 
 def count_operations(action: Callable[[], object]) -> int:
@@ -180,12 +182,12 @@
         count += event == "opcode"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
         action()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
@@ -193,12 +195,12 @@
     """Memory of these objects and of all that they refer to, classes, modules and functions aside."""
     seen: set[int] = set()
     total = 0
-    waiting = [*roots]
-    while waiting:
-        one = waiting.pop()
-        if id(one) in seen or isinstance(one, SHARED_TYPES):
+    pending = [*roots]
+    while pending:
+        value = pending.pop()
+        if id(value) in seen or isinstance(value, SHARED_TYPES):
             continue
-        seen.add(id(one))
-        total += sys.getsizeof(one)
-        waiting.extend(gc.get_referents(one))
+        seen.add(id(value))
+        total += sys.getsizeof(value)
+        pending.extend(gc.get_referents(value))
     return total
--- a/lupintack/scale/slope_chart.py
+++ b/lupintack/scale/slope_chart.py
@@ -16,7 +16,7 @@
 )  # fmt: skip
 
 
-def require_extra() -> None:
+def require_matplotlib() -> None:
     """SlopeError where matplotlib is not installed."""
     if importlib.util.find_spec("matplotlib") is None:
         raise SlopeError("--plot: matplotlib is missing; install the extra: pip install 'lupintack[lab]'")
@@ -29,7 +29,7 @@
     sizes = [point.size for point in points]
     times = [point.cpu_us for point in points]
     line = fit(sizes, times)
-    drawn, axes = create_figure()
+    figure, axes = create_figure()
     axes.errorbar(
         sizes, times,
         yerr=[
@@ -40,15 +40,15 @@
     )  # fmt: skip
     axes.plot(
         sizes, [line.at(size) for size in sizes], linewidth=0.8, linestyle="--",
-        label=f"{line.at_zero:.4g} + {line.slope:.4g} a unit of size",
+        label=f"{line.intercept:.4g} + {line.slope:.4g} a unit of size",
     )  # fmt: skip
     axes.set_xlabel(role.size_is)
     axes.set_ylabel(f"processor time, us ({role.per})")
     axes.set_title(caption(role, points), fontsize=9)
     axes.legend()
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path)
+    figure.tight_layout()
+    figure.savefig(path)
     write_csv(path.with_suffix(".csv"), points)
 
 
@@ -60,11 +60,11 @@
 
 def commit() -> str:
     """The commit that the code was read from; `unknown` outside a repository."""
-    found = subprocess.run(
+    result = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=Path(__file__).parent, capture_output=True, text=True, check=False,
     )  # fmt: skip
-    return found.stdout.strip() or "unknown"
+    return result.stdout.strip() or "unknown"
 
 
 def write_csv(path: Path, points: Sequence[SlopePoint]) -> None:
--- a/lupintack/scale/watchers.py
+++ b/lupintack/scale/watchers.py
@@ -14,9 +14,9 @@
 from multiprocessing.connection import Connection
 from typing import NamedTuple
 
-CONNECT_S = 10.0
-LOOK_S = 0.05
-ARRIVAL_S = 60.0
+CONNECT_TIMEOUT_S = 10.0
+POLL_S = 0.05
+ARRIVAL_TIMEOUT_S = 60.0
 READ_BYTES = 65536
 
 
@@ -29,20 +29,20 @@
     bytes_per_watcher: float
 
 
-class Start(NamedTuple):
+class Connect(NamedTuple):
     """What the process is told: where to connect, how often."""
 
     address: tuple[str, int]
     connections: int
 
 
-class Await(NamedTuple):
+class AwaitText(NamedTuple):
     """Wait until each watcher has had a line with this text."""
 
     text: bytes
 
 
-class Idle(NamedTuple):
+class MeasureIdle(NamedTuple):
     """Read for so long, and say how many bytes came to each watcher."""
 
     seconds: float
@@ -56,16 +56,16 @@
     count: int = 0
     received_bytes: int = 0
 
-    def connect(self, start: Start) -> None:
+    def connect(self, request: Connect) -> None:
         """Open all connections, and ask for what comes from now on."""
-        for number in range(start.connections):
-            sock = socket.create_connection(start.address, timeout=CONNECT_S)
+        for number in range(request.connections):
+            sock = socket.create_connection(request.address, timeout=CONNECT_TIMEOUT_S)
             sock.sendall(b"watch 1\n")
             sock.setblocking(False)
             self.selector.register(sock, selectors.EVENT_READ, number)
-        self.count = start.connections
+        self.count = request.connections
 
-    def read(self, seen: Callable[[int, bytes], None], timeout: float) -> None:
+    def read(self, on_data: Callable[[int, bytes], None], timeout: float) -> None:
         """Whatever has come."""
         for key, _ in self.selector.select(timeout):
             sock = key.fileobj
@@ -78,50 +78,50 @@
                 self.selector.unregister(sock)
                 continue
             self.received_bytes += len(data)
-            seen(key.data, data)
+            on_data(key.data, data)
 
-    def await_text(self, text: bytes, link: Connection) -> Arrivals:
+    def await_text(self, text: bytes, pipe: Connection) -> Arrivals:
         """When the first and the last watcher had it."""
-        had: set[int] = set()
+        received: set[int] = set()
         first = last = 0
         before = self.received_bytes
-        until = time.monotonic() + ARRIVAL_S
+        until = time.monotonic() + ARRIVAL_TIMEOUT_S
 
-        def seen(number: int, data: bytes) -> None:
+        def on_data(number: int, data: bytes) -> None:
             nonlocal first, last
             if text in data:
-                had.add(number)
+                received.add(number)
                 last = time.monotonic_ns() // 1000
                 first = first or last
 
-        while len(had) < self.count and time.monotonic() < until and not link.poll():
-            self.read(seen, LOOK_S)
-        return Arrivals(first, last, self.count - len(had), (self.received_bytes - before) / self.count)
+        while len(received) < self.count and time.monotonic() < until and not pipe.poll():
+            self.read(on_data, POLL_S)
+        return Arrivals(first, last, self.count - len(received), (self.received_bytes - before) / self.count)
 
     def idle(self, seconds: float) -> float:
         """Bytes a watcher and second while nothing is asked of them."""
         before, began = self.received_bytes, time.monotonic()
         while (spent := time.monotonic() - began) < seconds:
-            self.read(lambda number, data: None, LOOK_S)
+            self.read(lambda number, data: None, POLL_S)
         return (self.received_bytes - before) / self.count / spent
 
 
-def run(link: Connection) -> None:
+def run_watchers(pipe: Connection) -> None:
     """The process: one request after another, until the pipe closes."""
     watchers = Watchers()
     try:
         while True:
-            if not link.poll(LOOK_S):
+            if not pipe.poll(POLL_S):
                 watchers.read(lambda number, data: None, 0.0)
                 continue
-            asked = link.recv()
-            if isinstance(asked, Start):
-                watchers.connect(asked)
-                link.send(True)
-            elif isinstance(asked, Await):
-                link.send(watchers.await_text(asked.text, link))
-            elif isinstance(asked, Idle):
-                link.send(watchers.idle(asked.seconds))
+            command = pipe.recv()
+            if isinstance(command, Connect):
+                watchers.connect(command)
+                pipe.send(True)
+            elif isinstance(command, AwaitText):
+                pipe.send(watchers.await_text(command.text, pipe))
+            elif isinstance(command, MeasureIdle):
+                pipe.send(watchers.idle(command.seconds))
     except (EOFError, OSError, KeyboardInterrupt):
         return
 
@@ -132,31 +132,31 @@
     def __init__(self, address: tuple[str, int], count: int) -> None:
         """`count` connections to one discovery process."""
         context = multiprocessing.get_context("spawn")
-        self.link, theirs = context.Pipe()
-        self.process = context.Process(target=run, args=(theirs,), name="watchers", daemon=True)
+        self.pipe, child_pipe = context.Pipe()
+        self.process = context.Process(target=run_watchers, args=(child_pipe,), name="watchers", daemon=True)
         self.process.start()
-        theirs.close()
-        self.link.send(Start(address, count))
-        self.link.recv()
+        child_pipe.close()
+        self.pipe.send(Connect(address, count))
+        self.pipe.recv()
 
-    def begin(self, text: bytes) -> None:
+    def start_waiting(self, text: bytes) -> None:
         """From now on the next event is waited for."""
-        self.link.send(Await(text))
+        self.pipe.send(AwaitText(text))
 
     def arrivals(self) -> Arrivals:
         """Once all have had it, or the time for it is over."""
-        found = self.link.recv()
-        assert isinstance(found, Arrivals)
-        return found
+        arrivals = self.pipe.recv()
+        assert isinstance(arrivals, Arrivals)
+        return arrivals
 
     def idle(self, seconds: float) -> float:
         """Bytes a watcher and second."""
-        self.link.send(Idle(seconds))
-        return float(self.link.recv())
+        self.pipe.send(MeasureIdle(seconds))
+        return float(self.pipe.recv())
 
     def close(self) -> None:
         """End it."""
-        self.link.close()
+        self.pipe.close()
         self.process.join(5.0)
         if self.process.is_alive():
             self.process.kill()
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -22,9 +22,9 @@
 from lupintack.scale.membership_world import SECOND_US, JoinedWorld
 from lupintack.scale.role_allocator import AllocatorSubject
 from lupintack.scale.role_discovery import DiscoverySubject
-from lupintack.scale.role_purge import Reader, lines
+from lupintack.scale.role_purge import PurgeReader, purge_lines
 from lupintack.scale.role_reload import ReloadSubject
-from lupintack.scale.role_request import FEW_PARENTS, NEW_OBJECTS, OBJECTS, Traffic, members
+from lupintack.scale.role_request import FEW_PARENTS, NEW_OBJECTS, OBJECTS, RequestTraffic, members
 from lupintack.scale.slope import Parameters, count_operations, deep_bytes, fit
 
 SIZES = (20, 40, 80)  # each twice the one before
@@ -87,7 +87,7 @@
         """
 
         def count(size: int) -> float:
-            traffic = Traffic(members(size, size, FEW_PARENTS), 1)
+            traffic = RequestTraffic(members(size, size, FEW_PARENTS), 1)
             for _ in range(100):
                 traffic.request(objects)
             return operations(lambda: traffic.request(objects))
@@ -96,28 +96,28 @@
 
     def test_a_request_does_not_grow_with_the_parents(self) -> None:
         def count(size: int) -> float:
-            traffic = Traffic(members(8, 8, size), 1)
+            traffic = RequestTraffic(members(8, 8, size), 1)
             return operations(lambda: traffic.request(NEW_OBJECTS))
 
         assert_flat([count(size) for size in SIZES])
 
     def test_a_list_event_does_not_grow_with_the_members(self) -> None:
         def count(size: int) -> float:
-            traffic = Traffic(members(size, size, FEW_PARENTS), 1)
+            traffic = RequestTraffic(members(size, size, FEW_PARENTS), 1)
             return operations(traffic.list_event)
 
         assert_flat([count(size) for size in SIZES])
 
     def test_a_request_does_not_grow_with_members_of_other_locations(self) -> None:
         def count(size: int) -> float:
-            traffic = Traffic(members(size, 8, FEW_PARENTS), 1)
+            traffic = RequestTraffic(members(size, 8, FEW_PARENTS), 1)
             return operations(lambda: traffic.request(NEW_OBJECTS))
 
         assert_flat([count(size) for size in SIZES])
 
     def test_a_purge_does_not_grow_with_those_before_it(self) -> None:
         def count(size: int) -> float:
-            reader, told = Reader(1), lines(size + STEPS, 0.0)
+            reader, told = PurgeReader(1), purge_lines(size + STEPS, 0.0)
             for raw in told[:size]:
                 reader.read(raw)
             rest = iter(told[size:])
@@ -164,7 +164,7 @@
         bytes_of, datagrams_of, work = [], [], []
         for size in SIZES:
             world = JoinedWorld(1, size, [], 1)
-            world.begin_joined()
+            world.start_joined()
             world.run_to(2 * SECOND_US)
             sent, datagrams = sum(host.sent_bytes for host in world.hosts.values()), world.datagrams
             work.append(count_operations(lambda: world.run_to(3 * SECOND_US)) / size)  # noqa: B023
@@ -176,7 +176,7 @@
 
     def test_the_joined_world_is_one_view_and_stays_so(self) -> None:
         world = JoinedWorld(3, 20, [], 2)
-        world.begin_joined()
+        world.start_joined()
         assert len({world.view_id(host) for host in world.hosts.values()}) == 1
         world.run_to(12 * SECOND_US)
         assert len({world.view_id(host) for host in world.hosts.values()}) == 1
