--- a/lupintack/scale/coordinator.py
+++ b/lupintack/scale/coordinator.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a scale run, sends what the fleet hears, plays the script, collects the figures."""
+"""Starts the processes of a scale run, publishes events, injects the script's faults, collects results."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 PACKAGE = "lupintack.scale"
 SECOND_US = 1_000_000
 DAY_S = 86_400
-SAMPLE_INTERVAL_US = 1_000_000  # between two looks at the memory of all processes
-SETTLE_TIMEOUT_S = 90.0  # for all to join and agree before the measurement
+SAMPLE_INTERVAL_US = 1_000_000  # between two samples of the memory of all processes
+SETTLE_TIMEOUT_S = 90.0  # for all routers to join and converge before the measurement
 SETTLE_TIMEOUT_PER_ROUTER_S = 0.15
-FINISH_TIMEOUT_S = 120.0  # for all processes to tell what they measured
-STOP_TIMEOUT_S = 5.0  # for a process to end by itself
+FINISH_TIMEOUT_S = 120.0  # for all processes to send their results
+STOP_TIMEOUT_S = 5.0  # for a process to exit before it is killed
 CACHES = 630
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class RunError(RuntimeError):
-    """A run that broke off; the text says why in one line."""
+    """A run was aborted; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What was asked for."""
+    """Options of a run."""
 
     size: FleetSize
     processes: Processes
@@ -62,15 +62,15 @@
 
 
 class Child:
-    """One process of the run: frames to its standard input, and a thread that reads its replies."""
+    """One process of the run: sends it frames on standard input and reads its replies in a thread."""
 
     def __init__(
         self, module: str, log: Path, replies: queue.Queue[tuple[Child, messages.Reply | None]]
     ) -> None:
-        """Start the module; what it replies goes into `replies`, None at its end."""
+        """Start the module; its replies are put into `replies`, followed by None when its output ends."""
         self.log = log
         self.status: messages.Status | None = None
-        self.finished = False  # it has told what it measured
+        self.finished = False  # its results have been received
         with log.open("wb") as errors:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", f"{PACKAGE}.{module}"],
@@ -82,7 +82,7 @@
         threading.Thread(target=self._read, name=module, daemon=True).start()
 
     def send(self, message: messages.Command | messages.Publish) -> None:
-        """A frame to it; RunError where it has ended."""
+        """Send a frame; raise RunError if the process has ended."""
         assert self.process.stdin is not None
         try:
             self.process.stdin.write(messages.encode_frame(message))
@@ -91,12 +91,12 @@
             raise RunError(f"a process has ended: {self.last_error_line()}") from None
 
     def last_error_line(self) -> str:
-        """The last line of its errors."""
+        """Return the last line of its standard error."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "without a word"
+        return lines[-1] if lines else "no error output"
 
     def stop(self, until: float) -> None:
-        """Its input ends; by that time (time.monotonic) it has ended, or is killed by its pid."""
+        """Close its standard input, and kill it unless it exits by `until` (time.monotonic)."""
         assert self.process.stdin is not None
         try:
             self.process.stdin.close()
@@ -117,10 +117,10 @@
 
 
 class Coordinator:
-    """One run. `close` ends all that it started, also after an error."""
+    """Controls one run. `close` ends all processes of the run, also after an error."""
 
     def __init__(self, options: Options, ports: Sequence[int] | None = None) -> None:
-        """Nothing is started yet; `ports`: for the routers, else free ones are looked for."""
+        """Plan the fleet without starting it; `ports`: of the routers, free ports by default."""
         self.options = options
         self.secret = secrets.token_hex(8)
         self.discovery_cpu: list[float] = []
@@ -133,7 +133,7 @@
         self.replies: queue.Queue[tuple[Child, messages.Reply | None]] = queue.Queue()
         self.hollow: list[Child] = []
         self.discovery: list[Child] = []
-        self.addresses: dict[int, str] = {}  # of discovery processes, by their place
+        self.addresses: dict[int, str] = {}  # of discovery processes, by their index
         self.real: list[Child] = []
         self.owners: dict[str, Child] = {}
         self.finished: list[messages.Finished] = []
@@ -145,7 +145,7 @@
         self.settings_file = self.tmp / "settings.json"
 
     def run(self) -> dict[str, Any]:
-        """The whole run; its line."""
+        """Execute the whole run and return its result line."""
         options, processes = self.options, self.options.processes
         self.start_processes()
         self.settle()
@@ -163,7 +163,7 @@
         )
 
     def close(self) -> None:
-        """End every process that this run has started."""
+        """End every process of this run."""
         until = time.monotonic() + STOP_TIMEOUT_S
         children = [*self.hollow, *self.discovery, *self.real]
         for child in children:
@@ -176,10 +176,10 @@
             child.stop(until)
         shutil.rmtree(self.tmp, ignore_errors=True)
 
-    # The start
+    # Start
 
     def start_processes(self) -> None:
-        """Discovery, hollow routers and real ones; the hollow ones wait for `settle`."""
+        """Start the processes of discovery, hollow and real routers; `settle` starts the hollow routers."""
         processes = self.options.processes
         self.discovery = [self._child("hollow_discovery_process", n) for n in range(processes.discovery)]
         self.wait(lambda: len(self.addresses) == len(self.discovery), SETTLE_TIMEOUT_S, "discovery to listen")
@@ -205,7 +205,7 @@
         )  # fmt: skip
 
     def settle(self) -> None:
-        """Start all routers, and wait until they agree on who is there and who allocates."""
+        """Start all routers, and wait until their views agree and allocators are elected."""
         began = now_us()
         for number, router in enumerate(self.routers):
             due_us = began + round(number * SECOND_US / self.options.starts_per_s)
@@ -214,14 +214,14 @@
             self.owners[router.name].send(messages.Start((router.name,)))
         timeout_s = SETTLE_TIMEOUT_S + SETTLE_TIMEOUT_PER_ROUTER_S * len(self.routers)
         try:
-            self.wait(self.has_converged, timeout_s, "the routers to agree")
+            self.wait(self.has_converged, timeout_s, "the routers to converge")
             self.history.settled = True
         except TimeoutError:
-            pass  # told in the line: such a run counts as overloaded
+            pass  # the result line reports it: such a run counts as overloaded
         self.history.settle_s = (now_us() - began) / 1e6
 
     def has_converged(self) -> bool:
-        """Whether all routers run, count one another, and know who allocates."""
+        """Return whether all routers run with one view of all members, and allocators are elected."""
         count = len(self.routers)
         statuses = [child.status for child in self.hollow if child.status is not None]
         if len(statuses) < len(self.hollow) or sum(s.joined for s in statuses) < count:
@@ -234,10 +234,10 @@
         has_allocators = has_allocators and sum(s.region_allocators for s in statuses) >= len(self.regions)
         return member_counts == {members} and len(views) == 1 and watching == count and has_allocators
 
-    # The measurement
+    # Measurement
 
     def start_measurement(self) -> None:
-        """The measurement begins: counters from zero, and an agenda of all that is to be sent and done."""
+        """Reset the counters, and schedule the faults, purges, changes and memory samples."""
         self.history.began_us = now_us()
         for child in self.hollow:
             child.send(messages.StartMeasurement())
@@ -251,7 +251,7 @@
             self._call_repeatedly(round(SECOND_US * DAY_S / self.options.changes_per_day), self._change)
 
     def run_timers(self) -> None:
-        """Do what the agenda says until the run's time is over."""
+        """Run the scheduled timers until the end of the measurement."""
         end_us = self.history.began_us + round(self.options.seconds * SECOND_US)
         while (now := now_us()) < end_us:
             if self.timers and self.timers[0][0] <= now:
@@ -261,7 +261,7 @@
             self._handle_reply((wake_at - now) / 1e6)
 
     def finish(self) -> None:
-        """The measurement ends; RunError where a process does not tell its figures."""
+        """End the measurement and collect the results; raise RunError if a process does not send them."""
         self.history.ended_us = now_us()
         self.history.discovery_cpu_s = [
             cpu_s(child.process.pid) - before
@@ -277,13 +277,13 @@
             raise RunError(str(error)) from None
 
     def _call_at(self, after_s: float, action: Callable[[], None]) -> None:
-        """Do this so long after the measurement began."""
+        """Call `action` `after_s` after the start of the measurement."""
         self.counter += 1
         at = self.history.began_us + round(after_s * SECOND_US)
         heapq.heappush(self.timers, (at, self.counter, action))
 
     def _call_repeatedly(self, interval_us: int, action: Callable[[], None], number: int = 1) -> None:
-        """Do this again and again; the times don't shift when one is late."""
+        """Call `action` at multiples of `interval_us`; a late call does not shift the later ones."""
 
         def run_once() -> None:
             action()
@@ -291,7 +291,7 @@
 
         self._call_at(number * interval_us / SECOND_US, run_once)
 
-    # What the fleet hears
+    # Published events
 
     def _publish(self, event: dict[str, Any]) -> None:
         raw = json.dumps(event).encode()
@@ -303,7 +303,7 @@
         self._publish({"flush": {"asset": item, "ms": int(time.time() * 1000)}})
 
     def _change(self) -> None:
-        """In turn a change of the list, by discovery, and one of the settings, by their file."""
+        """Alternate between a list change, by discovery, and a change of the settings file."""
         self.change_count += 1
         if self.change_count % 2:
             host = f"c{self.random.randrange(CACHES):03d}"
@@ -316,17 +316,17 @@
             child.send(messages.ChangeSettings(written))
 
     def _write_settings(self, revision: int) -> None:
-        """A platform configuration with all caches; each revision has another bound."""
+        """Write a platform configuration with all caches; a limit differs in each revision."""
         addresses = {f"c{number:03d}": "127.0.0.1:9" for number in range(CACHES)}
         configuration = deployment.configuration(addresses, "127.0.0.1:9", revision=revision)
         temporary_file = self.settings_file.with_suffix(".new")
         temporary_file.write_text(json.dumps(configuration))
         temporary_file.replace(self.settings_file)
 
-    # The script
+    # Faults of the script
 
     def inject_fault(self, fault: Fault) -> None:
-        """One fault begins; its end is put on the agenda."""
+        """Begin a fault and schedule its end."""
         voters = [router.name for router in self.voters]
         names = select(fault.who, self.routers, voters, self.allocators, self.random)
         since_s = (now_us() - self.history.began_us) / 1e6
@@ -361,7 +361,7 @@
             self._call_at(since_s + fault.for_s, heal)
 
     def _send_each(self, names: Iterable[str], kind: Callable[[tuple[str, ...]], messages.Command]) -> None:
-        """A command about these routers, to the processes that drive them."""
+        """Send a command for these routers to the processes that run them."""
         selected = set(names)
         for child in self.hollow:
             assigned = tuple(n for n, owner in self.owners.items() if owner is child and n in selected)
@@ -370,18 +370,18 @@
 
     @property
     def removals(self) -> int:
-        """How many members were told to be gone, at all routers together, since the measurement began."""
+        """The number of removals reported by all routers since the measurement began."""
         return sum(child.status.removals for child in self.hollow if child.status is not None)
 
     @property
     def allocators(self) -> list[str]:
-        """Who is the fleet's allocator, as far as is known: a process tells it twice a second."""
+        """The fleet's allocators by the latest status of each process (two a second)."""
         return [name for child in self.hollow if child.status is not None for name in child.status.allocators]
 
-    # What the processes say
+    # Replies of the processes
 
     def wait(self, done: Callable[[], bool], timeout_s: float, text: str) -> None:
-        """Until this holds; TimeoutError where it does not in that time."""
+        """Handle replies until `done` returns True; raise TimeoutError after `timeout_s`."""
         until = now_us() + round(timeout_s * SECOND_US)
         while not done():
             left = until - now_us()
@@ -390,7 +390,7 @@
             self._handle_reply(min(left / 1e6, 0.5))
 
     def _handle_reply(self, timeout_s: float) -> None:
-        """One reply, or the time's end."""
+        """Wait up to `timeout_s` for a reply and handle it."""
         try:
             child, reply = self.replies.get(timeout=max(0.0, timeout_s))
         except queue.Empty:
@@ -417,7 +417,7 @@
             return
         if downtime is not None:
             if downtime.kind is not DowntimeKind.PAUSED:
-                return  # it has left, and its process ends
+                return  # the router has left before and now ends
             downtime.until_us = at_us
         self.history.downtimes.append(Downtime(name, DowntimeKind(kind), at_us))
 
@@ -429,7 +429,7 @@
 
 
 def rss_bytes(pid: int) -> int:
-    """Resident memory of a process; 0 where it has gone."""
+    """Return the resident memory of a process; 0 if it has ended."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
     except OSError:
@@ -437,7 +437,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process; 0 where it has gone."""
+    """Return the processor time of a process; 0 if it has ended."""
     try:
         words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -446,7 +446,7 @@
 
 
 def children_of(pid: int) -> list[int]:
-    """The processes that a process has started."""
+    """Return the pids of the child processes of a process."""
     try:
         return [int(word) for word in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
     except OSError:
--- a/lupintack/scale/hollow_demand.py
+++ b/lupintack/scale/hollow_demand.py
@@ -1,4 +1,4 @@
-"""What a hollow router wants of each budget: drawn anew every few seconds, so that leases move."""
+"""Random demand of a hollow router, redrawn every few seconds so that leases change."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from lupintack.scale.hollow_plan import BudgetPlan
 
 REDRAW_INTERVAL_US = 5_000_000
-MAX_SHARE_FACTOR = 2.5  # times an equal share, at most: on average a little more is wanted than there is
+MAX_SHARE_FACTOR = 2.5  # times an equal share; the mean of 1.25 makes demand exceed the total a little
 
 
 class Demand:
     """The demand of one router of a site."""
 
     def __init__(self, budgets: Sequence[BudgetPlan], routers: int, site: str, random: Random) -> None:
-        """`routers`: of the whole fleet, among which budgets without a site are wanted."""
+        """`routers`: number of routers of the fleet, which share the budgets without a site."""
         self.budgets, self.routers, self.site, self.random = tuple(budgets), routers, site, random
         self.units: tuple[int, ...] = ()
         self.redraw_us = 0
 
     def draw(self, now: int) -> tuple[int, ...]:
-        """Units wanted of each budget at this moment."""
+        """Return the demand for each budget, in units, and redraw it when due."""
         if now >= self.redraw_us:
             self.redraw_us = now + int(REDRAW_INTERVAL_US * (0.5 + self.random.random()))
             self.units = tuple(self._draw_budget(budget) for budget in self.budgets)
--- a/lupintack/scale/hollow_discovery.py
+++ b/lupintack/scale/hollow_discovery.py
@@ -1,7 +1,7 @@
-"""The discovery reader of a hollow router: the client's reader on a socket that never blocks.
+"""The discovery connection of a hollow router, on a non-blocking socket.
 
-`DiscoveryClient` words its requests, takes its lines and says how long to wait; the member table keeps the
-list and purges as in a real router. Here only the connection is opened, read and closed.
+`DiscoveryClient` builds the requests, processes the lines and computes the reconnect delay; the member table
+keeps the list and purges as in a real router. This module only opens, reads and closes the connection.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 READ_BYTES = 65_536
 CONNECT_US = int(CONNECT_TIMEOUT_S * 1e6)
-PURGE_SETTLE_MS = 6_000.0  # as in the settings of the platform's days
+PURGE_SETTLE_MS = 6_000.0  # as in the platform's settings
 
 
 class DiscoveryConnection:
-    """Follows discovery; `on_ready` is to be called when its socket is, `on_wake` at `wake_us`."""
+    """Watches discovery; its owner calls `on_readable` for a ready socket, and `on_wake` at `wake_us`."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         on_change: Callable[[TableChange], None],
         reachable: Callable[[], bool],
     ) -> None:
-        """`told`: host:port; `on_ready`: registered with the selector; `on_change`: as MemberTable.tell."""
+        """`discovery_address`: host:port; `on_ready`: selector callback; `on_change`: table callback."""
         self.member_table = MemberTable(PURGE_SETTLE_MS)
         self.member_table.notify = on_change
         self.client = DiscoveryClient(address(discovery_address, "discovery"), names, self.member_table, seed)
@@ -45,18 +45,18 @@
         self.lines: LineBuffer | None = None
         self.connect_until_us = 0
         self.reconnect_us = 0
-        self.initial_notified_us = 0  # the member table's last sign of life when this connection began
+        self.initial_notified_us = 0  # `notified_us` of the member table when this connection began
         self.bytes_in = self.bytes_out = 0
 
     @property
     def wake_us(self) -> int:
-        """When something is due though the socket isn't ready."""
+        """The time of the next timeout or connection attempt."""
         if self.lines is not None:
             return self.lines.deadline_us
         return self.connect_until_us if self.sock is not None else self.reconnect_us
 
     def on_wake(self, now: int) -> None:
-        """Connect, or give up a connection that told nothing in its time."""
+        """Connect, or close a connection that timed out."""
         if now < self.wake_us:
             return
         if self.sock is None:
@@ -65,7 +65,7 @@
             self._on_connection_lost(now)
 
     def on_readable(self) -> None:
-        """The socket is connected, or has bytes, or has ended."""
+        """Handle a socket that is connected, readable or closed."""
         if not self.reachable():
             self._unregister()
             return
@@ -81,20 +81,20 @@
             self._on_connection_lost(now)
 
     def on_reachability_change(self) -> None:
-        """Reachable again or no longer: a muted connection is looked at once more."""
+        """Register an open connection with the selector again when discovery is reachable."""
         if self.sock is not None and self.reachable():
             self._register(selectors.EVENT_READ if self.lines is not None else selectors.EVENT_WRITE)
 
     def pause(self) -> None:
-        """Read nothing until `resume`."""
+        """Stop reading until `resume`."""
         self._unregister()
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
         self.on_reachability_change()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self.sock is not None:
             self._unregister()
             self.sock.close()
@@ -108,7 +108,7 @@
         sock.setblocking(False)
         self.sock = sock
         if not self.reachable():
-            return  # as if its first packet were lost: it is given up in its time
+            return  # simulates a lost SYN: the attempt times out
         error_code = sock.connect_ex(self.client.address)
         if error_code not in (0, errno.EINPROGRESS):
             self._on_connection_lost(now)
--- a/lupintack/scale/hollow_discovery_process.py
+++ b/lupintack/scale/hollow_discovery_process.py
@@ -1,4 +1,4 @@
-"""A process of the discovery stand-in: a notice board whose events come as frames on standard input."""
+"""A process of the discovery stand-in, which publishes the events it receives as frames on standard input."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 def main() -> None:
     """Serve watchers until standard input ends."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends its processes
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends this process
     server = DiscoveryServer()
     sys.stdout.buffer.write(messages.encode_frame(messages.Address(server.address)))
     sys.stdout.buffer.flush()
@@ -21,7 +21,7 @@
         command = messages.command_decoder.decode(raw)
         if isinstance(command, messages.Publish):
             server.publish(json.loads(command.event))
-    os._exit(0)  # the threads of its watchers wait for ever
+    os._exit(0)  # the watchers' threads never end
 
 
 if __name__ == "__main__":
--- a/lupintack/scale/hollow_messages.py
+++ b/lupintack/scale/hollow_messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator and the processes of a scale run say to one another: MessagePack frames on pipes."""
+"""Messages between the coordinator and the processes of a scale run: MessagePack frames on pipes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Setup(msgspec.Struct, frozen=True, tag=True):
-    """The first frame: the whole fleet, and which of its routers this process drives."""
+    """The first frame: the whole fleet, and the routers that this process runs."""
 
     seed: int
     fleet: str
@@ -25,44 +25,44 @@
     assigned: tuple[str, ...]
     voters: tuple[str, ...]
     budgets: tuple[BudgetPlan, ...]
-    discovery: tuple[str, ...]  # addresses; a router's is given by its number
+    discovery: tuple[str, ...]  # addresses; a router's number selects one
     tmp: str
     settings_file: str
-    regions: tuple[RegionSetup, ...] = ()  # that allocate for their routers; none: budgets have one level
+    regions: tuple[RegionSetup, ...] = ()  # with allocators of their own; empty: budgets have one level
 
 
 class Start(msgspec.Struct, frozen=True, tag=True):
-    """Start these routers, as many at once as may join at once."""
+    """Start these routers, with a bounded number joining at a time."""
 
     names: tuple[str, ...]
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
-    """End these routers without a word; their ports refuse from then on."""
+    """End these routers without notice; their ports refuse connections from then on."""
 
     names: tuple[str, ...]
 
 
 class Leave(msgspec.Struct, frozen=True, tag=True):
-    """These routers say that they leave, and end a second later."""
+    """Make these routers announce that they leave, and end them a second later."""
 
     names: tuple[str, ...]
 
 
 class Pause(msgspec.Struct, frozen=True, tag=True):
-    """These routers stand still, their sockets open."""
+    """Pause these routers, with their sockets open."""
 
     names: tuple[str, ...]
 
 
 class Resume(msgspec.Struct, frozen=True, tag=True):
-    """They go on."""
+    """Resume these routers."""
 
     names: tuple[str, ...]
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """Nothing passes between these routers and all others, nor between them and discovery."""
+    """Cut these routers off from all others, and from discovery if `discovery` is set."""
 
     number: int
     names: tuple[str, ...]
@@ -70,23 +70,23 @@
 
 
 class Heal(msgspec.Struct, frozen=True, tag=True):
-    """A cut is over."""
+    """End a cut."""
 
     number: int
 
 
 class ChangeSettings(msgspec.Struct, frozen=True, tag=True):
-    """The settings file has changed: each router reads it."""
+    """Make each router read the changed settings file."""
 
     written_unix_ms: float
 
 
 class StartMeasurement(msgspec.Struct, frozen=True, tag=True):
-    """The measurement begins: counters are zero from here on."""
+    """Start the measurement and reset the counters."""
 
 
 class Finish(msgspec.Struct, frozen=True, tag=True):
-    """Tell what was measured, and end."""
+    """Send the results, and end."""
 
 
 Command = (
@@ -107,23 +107,23 @@
 
 
 class Status(msgspec.Struct, frozen=True, tag=True):
-    """How its routers are, about once a second."""
+    """The state of the process's routers, sent twice a second."""
 
     running: int
     starting: int
     joined: int
     min_members: int
     max_members: int
-    views: tuple[int, ...]  # the different view ids, a few at most
-    watching: int  # routers whose connection to discovery has told something
-    allocators: tuple[str, ...]  # of the fleet
+    views: tuple[int, ...]  # distinct view ids, a few at most
+    watching: int  # routers that have received data from discovery
+    allocators: tuple[str, ...]  # the routers that are the fleet's allocator
     region_allocators: int
-    removals: int  # members that were told to be gone, at all its routers together
+    removals: int  # removals of members reported by all its routers
     behind: int
 
 
 class LifecycleEvent(msgspec.Struct, frozen=True, tag=True):
-    """A fault of the script took place at this moment of the monotonic clock."""
+    """A router was started, killed, paused, resumed or left at this time of the monotonic clock."""
 
     kind: str
     name: str
@@ -131,7 +131,7 @@
 
 
 class Removal(msgspec.Struct, frozen=True):
-    """An observer told its users that these members have gone."""
+    """An observer reported the removal of these members."""
 
     at_us: int
     observer: str
@@ -139,7 +139,7 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """What a router could spend during a time: (budget's index, units), those of zero units left out."""
+    """Amounts that a router held for an interval, as (budget index, units) without zero amounts."""
 
     from_us: int
     until_us: int
@@ -147,7 +147,7 @@
 
 
 class Usage(msgspec.Struct):
-    """What a part of a router has used since the mark."""
+    """Resources that a part of a router has used since the start of the measurement."""
 
     cpu_ns: int = 0
     bytes_in: int = 0
@@ -155,7 +155,7 @@
 
 
 class RouterReport(msgspec.Struct, frozen=True):
-    """One process of one router, from its start or the mark to its end."""
+    """Results of one run of a router, from its start or that of the measurement to its end."""
 
     name: str
     measured_us: int
@@ -166,25 +166,25 @@
     budgets: Usage
     discovery: Usage
     settings: Usage
-    max_tick_delay_us: int  # by how much it missed its own ticks at most
+    max_tick_delay_us: int  # the largest delay of its ticks
     leases: tuple[LeaseStatus, ...]
 
 
 class Finished(msgspec.Struct, frozen=True, tag=True):
-    """All that a process has measured."""
+    """All results of a process."""
 
     routers: tuple[RouterReport, ...]
     removals: tuple[Removal, ...]
-    purge_ms: dict[int, int]  # how many purges reached a router after so many milliseconds
-    change_ms: dict[int, int]  # the same of list and settings changes
-    exceptions: int  # exceptions that were caught and logged
-    loop_cpu_ns: int  # of the whole thread since the mark
-    max_turn_us: int  # the longest turn of its loop
-    max_turn_cpu_ns: int  # and the most processor time of one
+    purge_ms: dict[int, int]  # number of purges by their delay to a router in milliseconds
+    change_ms: dict[int, int]  # the same for list and settings changes
+    exceptions: int  # caught and logged
+    loop_cpu_ns: int  # of the whole thread since the start of the measurement
+    max_turn_us: int  # the longest iteration of its event loop
+    max_turn_cpu_ns: int  # the largest processor time of an iteration
 
 
 class Address(msgspec.Struct, frozen=True, tag=True):
-    """Where a discovery stand-in listens."""
+    """The address of a discovery stand-in."""
 
     address: str
 
@@ -197,20 +197,20 @@
 
 
 def encode_frame(message: Command | Publish | Reply) -> bytes:
-    """A message as it goes through a pipe."""
+    """Encode a message with its length prefix."""
     raw = encoder.encode(message)
     return LENGTH.pack(len(raw)) + raw
 
 
 class FrameBuffer:
-    """Cuts the bytes of a pipe into frames."""
+    """Splits the bytes of a pipe into frames."""
 
     def __init__(self) -> None:
-        """No bytes yet."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole with these bytes."""
+        """Append bytes and return the frames that are complete."""
         self.buffer += data
         frames = []
         while len(self.buffer) >= LENGTH.size:
@@ -223,7 +223,7 @@
 
 
 def read_frame(pipe: BinaryIO) -> bytes | None:
-    """The next frame of a blocking pipe; None at its end."""
+    """Read the next frame of a blocking pipe; return None at its end."""
     header = pipe.read(LENGTH.size)
     if len(header) < LENGTH.size:
         return None
--- a/lupintack/scale/hollow_network.py
+++ b/lupintack/scale/hollow_network.py
@@ -1,4 +1,4 @@
-"""The cuts between the hollow routers of a run: what passes, decided by its sender."""
+"""Simulated network cuts between the hollow routers of a run, enforced by the senders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CutRule:
-    """One side of a cut; all others are the other side."""
+    """One side of a cut; all other routers are the other side."""
 
     names: frozenset[str]
     ports: frozenset[int]
@@ -16,28 +16,28 @@
 
 
 class Network:
-    """What passes now. Each sender drops what would cross a cut, in both directions."""
+    """The current cuts. Senders on both sides drop messages that would cross one."""
 
     def __init__(self, ports: Mapping[str, int]) -> None:
-        """`ports`: of each router by its name; nothing is cut."""
+        """Start without cuts; `ports`: port of each router by name."""
         self.ports = ports
         self.rules: dict[int, CutRule] = {}
 
     def cut(self, number: int, names: Iterable[str], discovery: bool) -> None:
-        """Nothing passes between these and all others."""
+        """Cut these routers off from all others."""
         side = frozenset(names)
         self.rules[number] = CutRule(side, frozenset(self.ports[name] for name in side), discovery)
 
     def heal(self, number: int) -> None:
-        """That cut is over."""
+        """End a cut."""
         self.rules.pop(number, None)
 
     def passes(self, sender: str, port: int) -> bool:
-        """Whether what a router sends to a port arrives."""
+        """Return whether messages of a router reach a port."""
         if not self.rules:
             return True
         return all((sender in rule.names) == (port in rule.ports) for rule in self.rules.values())
 
     def reaches_discovery(self, name: str) -> bool:
-        """Whether a router's connection to discovery carries anything."""
+        """Return whether a router can reach discovery."""
         return not any(rule.discovery and name in rule.names for rule in self.rules.values())
--- a/lupintack/scale/hollow_plan.py
+++ b/lupintack/scale/hollow_plan.py
@@ -1,4 +1,4 @@
-"""Which routers a scale run has, where they stand, and the budgets that they share."""
+"""Plans the routers of a scale run, their regions, zones and sites, and the budgets that they share."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 VOTERS = 5
 REGION_VOTERS = 3
 MAX_ROUTERS = 3_000
-STORE_FILLS_PER_ROUTER = 4  # units of the whole for each router
+STORE_FILLS_PER_ROUTER = 4  # units of the total for each router
 WARMING_PARENT_SLOTS = 64
 WARMING_CACHE_SLOTS_PER_ROUTER = 2
 RESERVED_PER_MILLE = 100
 
 
 class ScaleError(ValueError):
-    """A run that can't be started; the text says why in one line."""
+    """A run can't be started; the text gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """How many routers there are, and how they are grouped."""
+    """Numbers of routers, regions, zones and sites."""
 
     routers: int
     regions: int
@@ -31,10 +31,10 @@
     sites: int
 
     def check(self) -> None:
-        """Raise ScaleError where the groups can't be filled."""
+        """Raise ScaleError if a group would be empty or there are too many routers."""
         if not 1 <= self.regions <= self.zones <= self.sites <= self.routers:
             raise ScaleError(
-                "regions <= zones <= sites <= routers is wanted, each at least 1, not "
+                "regions <= zones <= sites <= routers is required, each at least 1, not "
                 f"{self.regions}, {self.zones}, {self.sites}, {self.routers}"
             )
         if self.routers > MAX_ROUTERS:
@@ -42,7 +42,7 @@
 
 
 class RouterPlan(msgspec.Struct, frozen=True):
-    """One hollow router: its name, where it stands, and its port on loopback."""
+    """One hollow router: its name, site, zone, region, and port on loopback."""
 
     name: str
     site: str
@@ -52,21 +52,21 @@
 
     @property
     def address(self) -> str:
-        """Where its datagrams and exchanges go."""
+        """The address of its datagrams and exchanges."""
         return f"127.0.0.1:{self.port}"
 
 
 class BudgetPlan(msgspec.Struct, frozen=True):
-    """One budget that all routers share: a whole in units, of things out at once."""
+    """One budget that all routers share: a limit of concurrent units."""
 
     name: str
     total: int
-    site: str = ""  # empty: wanted at all sites
+    site: str = ""  # empty: used at all sites
     reserved_per_mille: int = RESERVED_PER_MILLE
 
 
 class RegionSetup(msgspec.Struct, frozen=True):
-    """A region with an allocator of its own: who votes for it, and its sites."""
+    """A region with an allocator of its own: its voters and sites."""
 
     name: str
     voters: tuple[str, ...]
@@ -74,7 +74,7 @@
 
 
 def plan_routers(size: FleetSize, ports: Sequence[int]) -> tuple[RouterPlan, ...]:
-    """The routers of a run, dealt out evenly; `ports`: one for each."""
+    """Return the routers of a run, evenly distributed over the groups; `ports`: one for each."""
     routers = []
     for number, port in zip(range(size.routers), ports, strict=True):
         site = number % size.sites
@@ -85,13 +85,13 @@
 
 
 def plan_voters(routers: Sequence[RouterPlan]) -> tuple[RouterPlan, ...]:
-    """Who votes and is asked by those that join: the first routers, which stand in different groups."""
+    """Return the voters, which are also the seeds: the first routers, which are in different groups."""
     count = VOTERS if len(routers) >= VOTERS else 1
     return tuple(routers[:count])
 
 
 def plan_regions(routers: Sequence[RouterPlan]) -> tuple[RegionSetup, ...]:
-    """All regions for budgets of two levels: the first routers of each vote there."""
+    """Return all regions for budgets of two levels, with the first routers of each as voters."""
     setups = []
     for region in sorted({router.region for router in routers}):
         members = [router for router in routers if router.region == region]
@@ -102,7 +102,7 @@
 
 
 def plan_budgets(routers: Sequence[RouterPlan], site_budgets: bool) -> tuple[BudgetPlan, ...]:
-    """Two budgets of the whole fleet and, where wanted, one for each site."""
+    """Return two budgets of the whole fleet and, with `site_budgets`, one for each site."""
     budgets = [
         BudgetPlan("cold-parents", WARMING_PARENT_SLOTS),
         BudgetPlan("store-fills", STORE_FILLS_PER_ROUTER * len(routers)),
--- a/lupintack/scale/hollow_process.py
+++ b/lupintack/scale/hollow_process.py
@@ -1,7 +1,7 @@
 """A process of hollow routers: one thread, one selector over all sockets, a heap of wake times.
 
-Commands come as frames on standard input, replies go to standard output. When standard input ends, whoever
-started this process has gone, and it ends as well.
+Commands arrive as frames on standard input, replies are written to standard output. The process ends when
+standard input ends, since its parent has then exited.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 READ_BYTES = 1 << 16
 MAX_WAIT_US = 200_000
 STATUS_US = 500_000
-MIN_WAKE_INTERVAL_US = 500  # between two calls of one router that has nothing ready
-MAX_JOINING = 2  # routers of a process that join at the same time
-JOIN_TIMEOUT_US = 5_000_000  # after so long the next ones start, whether or not these have joined
-LEAVE_GRACE_US = 1_000_000  # between a word of leave and the end
-MAX_TICK_DELAY_US = 500_000  # a tick later than this: the router does not keep up
+MIN_WAKE_INTERVAL_US = 500  # between two wake-ups of a router without ready sockets
+MAX_JOINING = 2  # concurrent joins in one process
+JOIN_TIMEOUT_US = 5_000_000  # after this the next routers start, even if these have not joined
+LEAVE_GRACE_US = 1_000_000  # between the announcement of a leave and the end
+MAX_TICK_DELAY_US = 500_000  # a larger delay means that the router does not keep up
 MAX_REPORTED_VIEWS = 4
 
 
 class HollowProcess:
-    """The routers of one process and what drives them."""
+    """The routers of one process and their event loop."""
 
     def __init__(self, setup: messages.Setup, frames: messages.FrameBuffer) -> None:
-        """`frames`: what has been read of standard input beyond the setup."""
+        """`frames`: bytes read from standard input after the setup."""
         self.setup, self.frames = setup, frames
         self.selector = selectors.DefaultSelector()
         self.network = Network({plan.name: plan.port for plan in setup.routers})
         self.plans = {plan.name: plan for plan in setup.routers}
         self.routers: dict[str, HollowRouter] = {}
         self.start_queue: deque[str] = deque()
-        self.joining: dict[str, int] = {}  # since when
+        self.joining: dict[str, int] = {}  # start times in microseconds
         self.started: set[str] = set()
         self.heap: list[tuple[int, int, HollowRouter]] = []
         self.timers: list[tuple[int, int, Callable[[], None]]] = []
@@ -66,10 +66,10 @@
         self.max_turn_us = self.max_turn_cpu_ns = 0
         self.finished = False
 
-    # The loop
+    # Event loop
 
     def run(self) -> None:
-        """Until it is told to finish, or standard input ends."""
+        """Run until a Finish command or the end of standard input."""
         os.set_blocking(sys.stdin.fileno(), False)
         self.selector.register(sys.stdin, selectors.EVENT_READ, self.on_command)
         while not self.finished:
@@ -109,7 +109,7 @@
             heapq.heappop(self.timers)[2]()
 
     def schedule(self, router: HollowRouter) -> None:
-        """Call a router when it wants to be called, if that is sooner than it would be."""
+        """Schedule a router's next wake-up, if it is earlier than the scheduled one."""
         if router.paused or router.ended:
             return
         at = max(router.wake_us, now_us() + MIN_WAKE_INTERVAL_US)
@@ -119,19 +119,19 @@
             heapq.heappush(self.heap, (at, self.counter, router))
 
     def call_later(self, after_us: int, action: Callable[[], None]) -> None:
-        """Call this once, then."""
+        """Call `action` once after a delay."""
         self.counter += 1
         heapq.heappush(self.timers, (now_us() + after_us, self.counter, action))
 
     def reply(self, message: messages.Reply) -> None:
-        """A frame to the coordinator."""
+        """Send a frame to the coordinator."""
         sys.stdout.buffer.write(messages.encode_frame(message))
         sys.stdout.buffer.flush()
 
     # Commands
 
     def on_command(self) -> None:
-        """Frames from the coordinator."""
+        """Read and execute commands of the coordinator."""
         try:
             data = os.read(sys.stdin.fileno(), READ_BYTES)
         except BlockingIOError:
@@ -143,7 +143,7 @@
             self.execute(messages.command_decoder.decode(raw))
 
     def execute(self, command: messages.Command | messages.Publish) -> None:
-        """One command."""
+        """Execute one command."""
         match command:
             case messages.Start(names):
                 self.start_queue += names
@@ -182,7 +182,7 @@
                     self.reply(messages.LifecycleEvent(kind, name, now_us()))
 
     def kill(self, router: HollowRouter) -> None:
-        """End a router's process without a word."""
+        """End a router without notice."""
         name = router.plan.name
         self.reports.append(router.report())
         self.joining.pop(name, None)
@@ -192,15 +192,15 @@
         self.reply(messages.LifecycleEvent("kill", name, at))
 
     def leave(self, router: HollowRouter) -> None:
-        """Let a router say that it leaves, and end it then."""
+        """Make a router announce that it leaves, and end it later."""
         self.reply(messages.LifecycleEvent("leave", router.plan.name, now_us()))
         router.leave()
         self.call_later(LEAVE_GRACE_US, lambda: self.kill(router) if not router.ended else None)
 
     def start_measurement(self) -> None:
-        """The measurement begins."""
+        """Reset the results and start the measurement."""
         self.call_later(0, self.start_turn_measurement)
-        gc.freeze()  # a collection over the tables of all routers would stop each of them
+        gc.freeze()  # a collection over all routers' tables would pause every router
         self.purge_ms.clear()
         self.change_ms.clear()
         self.removals.clear()
@@ -210,11 +210,11 @@
             router.start_measurement()
 
     def start_turn_measurement(self) -> None:
-        """From the turn after the mark on: the mark itself takes long where tables are large."""
+        """Measure turns from the next one on: starting the measurement is slow with large tables."""
         self.measuring = True
 
     def finish(self) -> None:
-        """Tell what was measured, and end."""
+        """Send the results, and end."""
         self.reports += [router.report() for router in self.routers.values()]
         faults = sum(r.fleet.counters["faults"] + r.budgets.counts["faults"] for r in self.routers.values())
         self.reply(
@@ -237,7 +237,7 @@
                 self.start(name)
 
     def start(self, name: str) -> None:
-        """A router's process, under its name and port."""
+        """Start a router under its name and port."""
         is_first = name == self.setup.routers[0].name and name not in self.started
         self.started.add(name)
         router = HollowRouter(
@@ -246,22 +246,22 @@
             max((router.discovery.client.last_revision for router in self.routers.values()), default=1),
         )  # fmt: skip
         if router.fleet.address != self.plans[name].address:
-            LOG.error("port %d of %s was taken: cuts don't hold there", self.plans[name].port, name)
+            LOG.error("port %d of %s is in use: cuts do not apply to it", self.plans[name].port, name)
         self.routers[name] = router
         self.joining[name] = now_us()
         router.start()
         self.schedule(router)
         self.reply(messages.LifecycleEvent("start", name, now_us()))
 
-    # What routers hear
+    # Changes seen by the routers
 
     def on_membership_change(self, router: HollowRouter, change: MembershipChange) -> None:
-        """A router tells its users of changes among the members."""
+        """Record the removals that a router reports."""
         if change.removed:
             self.removals.append(messages.Removal(now_us(), router.plan.name, change.removed))
 
     def on_list_change(self, change: ListChange) -> None:
-        """A purge or a change of the list is in a router's tables."""
+        """Record the delay of a purge or list change that a router has applied."""
         now_ms = time.time() * 1000
         if change.purge is not None and change.purge.unix_ms is not None:
             self.purge_ms[max(0, round(now_ms - change.purge.unix_ms))] += 1
@@ -270,7 +270,7 @@
                 self.change_ms[max(0, round(now_ms - host.born_unix_ms))] += 1
 
     def _read_settings(self) -> None:
-        """One router reads the settings file; the others wait for the next turn."""
+        """Read the settings file for one router; the others follow in later turns."""
         if not self.pending_settings_reads:
             return
         name, written = self.pending_settings_reads.popleft()
@@ -281,16 +281,16 @@
         self.change_ms[max(0, round(time.time() * 1000 - written))] += 1
 
     def _load_settings(self, name: str) -> None:
-        """Read and check the file as a SIGHUP does; the content is kept once for all routers."""
+        """Read and check the file as on SIGHUP; all routers share one copy of the content."""
         previous = self.settings
         self.settings = config.load({"EDGE_CONFIG": self.setup.settings_file, "EDGE_NAME": name})
         if previous is not None and changes.missing(previous.raw, self.settings.raw):
-            LOG.error("a settings file lacks what the one before had")
+            LOG.error("the settings file lacks settings of the previous one")
 
     # Status
 
     def status(self) -> messages.Status:
-        """How the routers are."""
+        """Return the state of the routers."""
         now = now_us()
         views = [router.fleet.membership.view for router in self.routers.values()]
         members = [len(view.names) for view in views]
@@ -310,8 +310,8 @@
 
 
 def main() -> None:
-    """The first frame on standard input says what to drive."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends its processes
+    """Run the routers of the setup, which is the first frame on standard input."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends this process
     logging.basicConfig(level=logging.WARNING)
     frames = messages.FrameBuffer()
     initial_frames: list[bytes] = []
--- a/lupintack/scale/hollow_real_process.py
+++ b/lupintack/scale/hollow_real_process.py
@@ -1,6 +1,6 @@
-"""A process that starts real routers beside the hollow ones, and ends them when its standard input ends.
+"""A process that starts real routers next to the hollow ones, and ends them when its standard input ends.
 
-They follow a stand-in of discovery of their own, which publishes nothing; of the fleet they hear all.
+They watch a discovery stand-in of their own, which publishes nothing, and are full members of the fleet.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def operator_tables(setup: messages.Setup) -> tuple[dict[str, Any], dict[str, dict[str, Any]]]:
-    """The real routers' [membership] and their other tables."""
+    """Return the [membership] table of the real routers and their other tables."""
     by_name = {router.name: router for router in setup.routers}
     seeds = [by_name[name].address for name in setup.voters]
     membership = {"fleet": setup.fleet, "secret": setup.secret, "seeds": seeds, "site": setup.routers[0].site}
@@ -31,8 +31,8 @@
 
 
 def main() -> None:
-    """Start what the first frame says, and wait for the end of standard input."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends its processes
+    """Start the routers of the first frame, and wait for the end of standard input."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the coordinator ends this process
     raw = messages.read_frame(sys.stdin.buffer)
     if raw is None:
         return
@@ -47,7 +47,7 @@
                 pass
         finally:
             routers.close()
-    os._exit(0)  # the threads of the stand-ins wait for ever
+    os._exit(0)  # the threads of the stand-ins never end
 
 
 if __name__ == "__main__":
--- a/lupintack/scale/hollow_router.py
+++ b/lupintack/scale/hollow_router.py
@@ -1,7 +1,7 @@
-"""One hollow router: the real membership, budget and discovery code on real sockets, driven from outside.
+"""One hollow router: the real membership, budget and discovery code on real sockets, without threads.
 
-It has no thread of its own: a process of many such routers calls `on_wake` at `wake_us`, and its selector
-calls the others. Each call's processor time is counted for the part that it served.
+A process of many hollow routers calls `on_wake` at `wake_us`, and its selector calls the socket callbacks.
+The processor time of each call is counted for its part: membership, budgets, discovery or settings.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from lupintack.scale.hollow_plan import RouterPlan
 from lupintack.scale.hollow_shared import SharedRings, SharedView
 
-MAX_DATAGRAMS_PER_CALL = 16  # of one router, before the others have their turn
+MAX_DATAGRAMS_PER_CALL = 16  # bounds the time for which one router blocks the others
 NEVER_US = 1 << 62
 
 
 class HollowExchanges(ExchangeService):
-    """Exchanges and probes of connections that don't cross a cut."""
+    """Exchanges and connection probes, blocked by cuts."""
 
     def __init__(self, exchanges: ExchangeService, passes: Callable[[int], bool]) -> None:
-        """Take over a listener from `exchanges`, not yet open; `passes`: whether a port is reached."""
+        """Take over the unopened listener of `exchanges`; `passes`: whether a port is reachable."""
         super().__init__(exchanges.listener, exchanges.on_request)
         exchanges.selector.close()
         self.passes = passes
@@ -49,18 +49,18 @@
     def begin_exchange(
         self, destination: tuple[str, int], frame: bytes, on_answer: Callable[[bytes], None]
     ) -> None:
-        """Begin an exchange; across a cut it is never answered."""
+        """Begin an exchange; across a cut it gets no answer."""
         if self.passes(destination[1]):
             super().begin_exchange(destination, frame, on_answer)
 
     def probe_connection(self, destination: tuple[str, int], on_result: Callable[[bool], None]) -> None:
-        """Probe a connection; across a cut it gives no result."""
+        """Probe a connection; across a cut there is no result."""
         if self.passes(destination[1]):
             super().probe_connection(destination, on_result)
 
 
 class HollowFleet(FleetTransport):
-    """The membership's sockets, whose datagrams don't cross a cut."""
+    """The fleet transport, whose datagrams are dropped at cuts."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         on_change: Callable[[MembershipChange], None],
         usage: Usage,
     ) -> None:
-        """Bind the sockets; `usage` is that of the budgets, whose bytes are counted apart."""
+        """Bind the sockets; `usage`: of the budgets, whose bytes are counted separately."""
         self.network = network
         self.budget_usage = usage
         super().__init__(fleet_address, MembershipConfig(), seed, on_change, lambda: True)
@@ -83,18 +83,18 @@
         state.rings = SharedRings(state.config.ring_count)
 
     def send_datagram(self, raw: bytes, destination: tuple[str, int]) -> None:
-        """Send a datagram; across a cut it is lost."""
+        """Send a datagram; across a cut it is dropped."""
         if self.network.passes(self.fleet_address.name, destination[1]):
             super().send_datagram(raw, destination)
 
     def send_to_router(self, name: str, advertised: str, raw: bytes) -> None:
-        """Send a datagram of the budgets, and count its bytes for them."""
+        """Send a datagram of the budgets, and count its bytes."""
         self.budget_usage.bytes_out += len(raw)
         super().send_to_router(name, advertised, raw)
 
 
 class HollowRouter:
-    """One process of one router."""
+    """One run of one router, from its start to its end."""
 
     def __init__(
         self,
@@ -108,8 +108,8 @@
         on_wake_change: Callable[[HollowRouter], None],
         revision: int,
     ) -> None:
-        """`alone`: the fleet's first process, which asks nobody; `on_touched`: `wake_us` may have moved;
-        `revision`: of discovery, up to which its configuration tells all.
+        """`is_first`: the fleet's first router, without seeds; `on_wake_change`: `wake_us` may have changed;
+        `revision`: of discovery, up to which the router's configuration is complete.
         """
         self.plan, self.selector = plan, selector
         self.on_wake_change = on_wake_change
@@ -140,17 +140,17 @@
         )
         self.discovery.client.load_initial_log({"rev": revision})
         self.voter = plan.name in setup.voters
-        self.allocator = self.region_allocator = False  # at some time since the mark
+        self.allocator = self.region_allocator = False  # at any time since the start of the measurement
         self.paused = False
         self.ended = False
-        self.scheduled_us = NEVER_US  # when the process has been told to call
+        self.scheduled_us = NEVER_US  # the next wake-up in the process's heap
         self.max_tick_delay_us = 0
         self.measured_from_us = now_us()
         self.leases: list[LeaseStatus] = []
         self.initial_byte_counts: Counter[str] = Counter()
 
     def _make_budgets(self, setup: Setup) -> BudgetService:
-        """The budgets' part of a router, as fleet/start.py makes it, with demand drawn by chance."""
+        """Return the budget service as fleet/start.py builds it, with random demand."""
         budgets = [budget(one.name, one.total, True, one.reserved_per_mille) for one in setup.budgets]
         plan = None
         if setup.regions:
@@ -169,10 +169,10 @@
         )  # fmt: skip
         return service
 
-    # Its life
+    # Lifecycle
 
     def start(self) -> None:
-        """Open all sockets and say the first words."""
+        """Open all sockets and start the membership."""
         self.fleet.exchanges.open()
         self._register_sockets()
         self.measured_from_us = now_us()
@@ -181,7 +181,7 @@
         )
 
     def kill(self) -> None:
-        """End without a word; the kernel refuses what comes afterwards."""
+        """End without notice; the kernel refuses later packets."""
         now = now_us()
         self._end_lease(now)
         self._unregister_sockets()
@@ -191,44 +191,44 @@
         self.ended = True
 
     def leave(self) -> None:
-        """Say that this router goes; it is killed a little later."""
+        """Announce that this router leaves; it is killed a little later."""
         self.fleet.execute(self.fleet.call_membership(self.fleet.membership.leave))
         self.budgets.leave()
 
     def pause(self) -> None:
-        """Nothing is read or done until `resume`; the kernel keeps what comes."""
+        """Stop all work until `resume`; the kernel buffers what arrives."""
         self.paused = True
         self._unregister_sockets()
         self.discovery.pause()
 
     def resume(self) -> None:
-        """Go on, all ticks late."""
+        """Continue, with all due ticks late."""
         self.paused = False
         self._register_sockets()
         self.discovery.resume()
         self.notify_wake_change()
 
     def allocates(self, now: int) -> bool:
-        """Whether it is the fleet's allocator."""
+        """Return whether it is the fleet's allocator."""
         levels = self.budgets.levels
         if isinstance(levels, TwoLevels):
             return levels.node.fleet.is_allocator(now)
         return self.budgets.allocates(now)
 
     def allocates_region(self, now: int) -> bool:
-        """Whether it is its region's allocator."""
+        """Return whether it is its region's allocator."""
         return isinstance(self.budgets.levels, TwoLevels) and self.budgets.allocates(now)
 
     @property
     def joined(self) -> bool:
-        """Whether it counts itself among the members."""
+        """Whether its own state is ALIVE."""
         return self.fleet.membership.me.state is State.ALIVE
 
-    # What drives it
+    # Callbacks of the event loop
 
     @property
     def wake_us(self) -> int:
-        """When `on_wake` is wanted, whatever comes before."""
+        """The time of the next due call of `on_wake`."""
         fleet = self.fleet
         times = (
             fleet.membership.wake_us,
@@ -239,11 +239,11 @@
         return min(times)
 
     def notify_wake_change(self) -> None:
-        """Its wake time may have moved."""
+        """Report that `wake_us` may have changed."""
         self.on_wake_change(self)
 
     def on_wake(self, now: int) -> None:
-        """Do what is due."""
+        """Run all due steps."""
         self.max_tick_delay_us = max(self.max_tick_delay_us, now - self.scheduled_us)
         self.scheduled_us = NEVER_US
         if now >= self.fleet.membership.wake_us:
@@ -259,11 +259,11 @@
         self.notify_wake_change()
 
     def on_datagrams(self) -> None:
-        """Take what has come, a few at most."""
+        """Read and process waiting datagrams, a bounded number."""
         for _ in range(MAX_DATAGRAMS_PER_CALL):
             try:
                 raw = self.fleet.read_datagram()
-            except OSError:  # a refusal of something sent earlier
+            except OSError:  # an earlier datagram was refused
                 self.fleet.counters["errors"] += 1
                 continue
             if not raw:
@@ -276,20 +276,20 @@
         self.notify_wake_change()
 
     def on_exchanges(self) -> None:
-        """Exchanges and probes of connections."""
+        """Serve exchanges and connection probes."""
         self.timed("membership", lambda: self.fleet.exchanges.poll(0.0))
         self.notify_wake_change()
 
     def on_discovery(self) -> None:
-        """The connection to discovery."""
+        """Serve the connection to discovery."""
         self.timed("discovery", self.discovery.on_readable)
-        if self.discovery.lines is None:  # else what it waits for is later than before
+        if self.discovery.lines is None:  # otherwise its deadline has only moved later
             self.notify_wake_change()
 
-    # What is measured
+    # Measurement
 
     def start_measurement(self) -> None:
-        """The measurement begins."""
+        """Reset the results and start the measurement."""
         self.measured_from_us = now_us()
         self.max_tick_delay_us = 0
         self.allocator = self.allocates(self.measured_from_us)
@@ -299,7 +299,7 @@
         self.initial_byte_counts = Counter(self._byte_counts())
 
     def report(self) -> RouterReport:
-        """What was measured since the mark, or since its start."""
+        """Return the results since the start of the measurement, or of this router."""
         now = now_us()
         self._end_lease(now)
         counts = self._byte_counts()
@@ -328,7 +328,7 @@
         )
 
     def _record_lease(self, amounts: tuple[int, ...], until_us: int) -> None:
-        """What may be spent has changed: the old lease ends now, if it has not ended before. 0: for good."""
+        """Record a lease and end the previous one now, if it has not expired; `until_us` 0: no expiry."""
         now = now_us()
         held_amounts = tuple(
             (n, units) for n, units in zip(self.budget_numbers, amounts, strict=True) if units
@@ -347,7 +347,7 @@
             self.leases[-1] = LeaseStatus(last.from_us, now, last.amounts)
 
     def timed(self, part: str, action: Callable[[], Any]) -> None:
-        """Do this, and count its processor time for a part of this router."""
+        """Call `action`, and count its processor time for a part of this router."""
         began = time.thread_time_ns()
         action()
         self.usage[part].cpu_ns += time.thread_time_ns() - began
--- a/lupintack/scale/hollow_shared.py
+++ b/lupintack/scale/hollow_shared.py
@@ -1,7 +1,7 @@
-"""Tables of the membership that share their entries among the routers of one process.
+"""Membership tables whose entries are shared by the routers of one process.
 
-A real router has these tables for itself. Thousands of hollow routers in one process would hold equal records
-thousands of times; here equal ones are one object. What the tables answer is the same.
+Thousands of hollow routers in one process would hold thousands of copies of equal records. These tables keep
+one object for all equal entries, and otherwise behave as the tables of a real router.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def shared_record(record: Record) -> Record:
-    """The one object that stands for all equal records."""
+    """Return the object that represents all equal records."""
     if len(_records) > MAX_SHARED_ENTRIES:
         _records.clear()
     return _records.setdefault(record, record)
@@ -26,7 +26,7 @@
 
 @lru_cache(maxsize=MAX_SHARED_ENTRIES)
 def ring_entries(name: str) -> tuple[tuple[int, str], ...]:
-    """A name's entry on each ring."""
+    """Return a name's entry on each ring."""
     return tuple((position, name) for position in ring_positions(name))
 
 
@@ -34,7 +34,7 @@
     """A view whose records are shared."""
 
     def merge(self, record: Record, now: int) -> bool:
-        """As View.merge."""
+        """Merge a record as View.merge does."""
         return super().merge(shared_record(record), now)
 
 
@@ -42,7 +42,7 @@
     """Rings whose entries are shared."""
 
     def add(self, name: str) -> None:
-        """As Rings.add."""
+        """Add a name as ObserverRings.add does."""
         if name not in self.names:
             entries = ring_entries(name)
             self.names.add(entries[0][1])
--- a/lupintack/scale/report.py
+++ b/lupintack/scale/report.py
@@ -1,4 +1,4 @@
-"""The figures of a scale run, worked out from what its processes have measured. Pure: no I/O, no clock."""
+"""Computes the result of a scale run from the measurements of its processes. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from lupintack.scale.hollow_messages import Finished, LeaseStatus, Removal, RouterReport
 from lupintack.scale.hollow_plan import BudgetPlan, FleetSize
 
-MAX_TICK_DELAY_US = 500_000  # a tick later than this: the router does not keep up
-REMOVAL_GRACE_US = 20_000_000  # after a fault has ended, a removal that it caused may still be told
-MIN_DETECTABLE_OUTAGE_US = 5_000_000  # a pause or cut this short must remove nobody
+MAX_TICK_DELAY_US = 500_000  # a larger delay means that the router does not keep up
+REMOVAL_GRACE_US = 20_000_000  # a fault may cause removals for this long after its end
+MIN_DETECTABLE_OUTAGE_US = 5_000_000  # a shorter pause or cut must not cause removals
 MAX_LISTED_REMOVALS = 5
-DETECTION_TIMEOUT_US = 25_000_000  # a kill this close to the end need not have been told by then
+DETECTION_TIMEOUT_US = 25_000_000  # a kill later than this before the end may be undetected
 
 
 class Role(Enum):
-    """What a process does for control."""
+    """The role of a process in the control plane."""
 
     ROUTER = "router"
     VOTER = "voter"
@@ -30,7 +30,7 @@
 
 
 class DowntimeKind(Enum):
-    """Why a router was not there."""
+    """Why a router was down."""
 
     KILLED = "kill"
     LEFT = "leave"
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Downtime:
-    """A time in which a router was not running, or stood still."""
+    """An interval in which a router was not running, or was paused."""
 
     name: str
     kind: DowntimeKind
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class CutTime:
-    """A time in which some routers were cut off from all others."""
+    """An interval in which some routers were cut off from all others."""
 
     names: frozenset[str]
     from_us: int
@@ -58,32 +58,32 @@
 
 @dataclass(slots=True)
 class History:
-    """What the script did, when it was done, and what was seen from outside."""
+    """The faults of a run with their times, and the measurements of the coordinator."""
 
     began_us: int = 0
     ended_us: int = 0
     downtimes: list[Downtime] = field(default_factory=list)
     cuts: list[CutTime] = field(default_factory=list)
-    settled: bool = False  # all routers had one view before the measurement began
+    settled: bool = False  # the routers converged before the measurement began
     settle_s: float = 0.0
     max_rss_bytes: int = 0
     discovery_cpu_s: list[float] = field(default_factory=list)  # of each discovery process
 
     def open_downtime(self, name: str) -> Downtime | None:
-        """The one that has not ended."""
+        """Return a router's downtime that has not ended, or None."""
         return next((d for d in reversed(self.downtimes) if d.name == name and d.until_us is None), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Detection:
-    """How long after their kills routers were told to be gone, at each router that saw it."""
+    """Delays from the kill of a router to the removal reported by each other router."""
 
     delays_us: tuple[int, ...]
-    missed: int  # pairs of a killed router and one that ran on and did not tell so
+    missed: int  # pairs of a killed router and an observer that did not report its removal
 
 
 def percentile(values: Sequence[float], fraction: float) -> float | None:
-    """The smallest value that so great a part does not exceed; None of nothing."""
+    """Return the nearest-rank percentile; None without values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -91,7 +91,7 @@
 
 
 def count_percentile(counts: Mapping[int, int], fraction: float) -> int | None:
-    """The same of values with how often each came."""
+    """Return the nearest-rank percentile of values given with their counts; None without values."""
     rank = math.ceil(fraction * sum(counts.values()))
     seen = 0
     for value in sorted(counts):
@@ -102,7 +102,7 @@
 
 
 def role_of(report: RouterReport) -> Role:
-    """The most that a router did."""
+    """Return the highest role that a router had."""
     if report.allocator:
         return Role.ALLOCATOR
     if report.region_allocator:
@@ -111,19 +111,19 @@
 
 
 def cpu_share(report: RouterReport) -> float:
-    """Of one core."""
+    """Return the share of one core that a router used."""
     parts = (report.membership, report.budgets, report.discovery, report.settings)
     return sum(usage.cpu_ns for usage in parts) / 1000 / max(1, report.measured_us)
 
 
 def bytes_per_s(report: RouterReport) -> float:
-    """Both directions, without the headers of UDP, TCP and IP."""
+    """Return the traffic in both directions, without UDP, TCP and IP headers."""
     parts = (report.membership, report.budgets, report.discovery)
     return sum(usage.bytes_in + usage.bytes_out for usage in parts) * 1e6 / max(1, report.measured_us)
 
 
 def largest_excess(leases: Iterable[LeaseStatus], budgets: Sequence[BudgetPlan]) -> int:
-    """By how many units all leases together passed a budget's whole, at the worst instant; 0: never."""
+    """Return the largest excess of all leases over a budget's total at any instant, in units; 0: none."""
     changes_by_budget: list[list[tuple[int, int]]] = [[] for _ in budgets]
     for lease in leases:
         for index, units in lease.amounts:
@@ -133,14 +133,14 @@
     excess = 0
     for budget, changes in zip(budgets, changes_by_budget, strict=True):
         held = 0
-        for _, units in sorted(changes):  # of one instant, what ends comes first
+        for _, units in sorted(changes):  # at equal times, lease ends sort before starts
             held += units
             excess = max(excess, held - budget.total)
     return excess
 
 
 def detections(history: History, removals: Sequence[Removal], observers: Sequence[str]) -> Detection:
-    """From each kill to what each other router told; a router that was back first counts for nothing."""
+    """Compute the detection delays; a router that restarts before its detection is due is not missed."""
     removal_times: dict[str, dict[str, list[int]]] = defaultdict(lambda: defaultdict(list))
     for removal in removals:
         for name in removal.names:
@@ -166,7 +166,7 @@
 
 
 def false_removals(history: History, removals: Sequence[Removal]) -> dict[str, Removal]:
-    """The routers that were told to be gone though no fault of the script explains it, and who did first."""
+    """Return routers whose removal no fault of the script explains, each with its first such removal."""
     unexplained: dict[str, Removal] = {}
     for removal in removals:
         for name in removal.names:
@@ -176,7 +176,7 @@
 
 
 def format_removals(history: History, false_removals: Mapping[str, Removal]) -> list[str]:
-    """The first few, for whoever looks for the cause."""
+    """Describe the first few false removals, for troubleshooting."""
     return [
         f"{name} by {removal.observer} at {(removal.at_us - history.began_us) / 1e6:.1f} s"
         for name, removal in sorted(false_removals.items())[:MAX_LISTED_REMOVALS]
@@ -184,7 +184,7 @@
 
 
 def is_explained(history: History, removal: Removal, name: str) -> bool:
-    """Whether a kill, a long pause or a long cut explains that this observer told of this router's end."""
+    """Return whether a downtime of `name` or the observer, or a cut between them, explains a removal."""
     for downtime in history.downtimes:
         if downtime.name not in (name, removal.observer):
             continue
@@ -199,13 +199,13 @@
 
 
 def covers_removal(from_us: int, until_us: int | None, at_us: int, silent_us: int) -> bool:
-    """Whether a fault of that time explains a removal at that moment."""
+    """Return whether a fault in this interval explains a removal at `at_us`."""
     end = until_us if until_us is not None else at_us
     return end - from_us >= silent_us and from_us + silent_us <= at_us <= end + REMOVAL_GRACE_US
 
 
 def percentile_by_role(values: Mapping[Role, Sequence[float]], fraction: float) -> dict[str, float]:
-    """A percentile of each role, rounded."""
+    """Return a rounded percentile for each role."""
     percentiles = {}
     for role in Role:
         value = percentile(values.get(role, ()), fraction)
@@ -215,7 +215,7 @@
 
 
 def ms_to_s(ms: int | None) -> float | None:
-    """Milliseconds as seconds."""
+    """Convert milliseconds to seconds."""
     return None if ms is None else round(ms / 1000, 3)
 
 
@@ -228,7 +228,7 @@
     history: History,
     finished: Sequence[Finished],
 ) -> dict[str, Any]:
-    """The run's one line; docs/scale.md says what each field is."""
+    """Return the result line of a run; docs/scale.md describes the fields."""
     reports = [report for process in finished for report in process.routers]
     removals = [removal for process in finished for removal in process.removals]
     purges, changes = Counter[int](), Counter[int]()
@@ -291,7 +291,7 @@
 
 
 def median_by_part(reports: Sequence[RouterReport], resource: str) -> dict[str, float | None]:
-    """The median of what each part of a router used: share of a core, or bytes a second."""
+    """Return the median use of each part of a router: share of a core, or bytes per second."""
     medians = {}
     for part in ("membership", "budgets", "discovery", "settings"):
         values = []
@@ -304,5 +304,5 @@
 
 
 def rounded(value: float | None, digits: int) -> float | None:
-    """A figure as the line shows it."""
+    """Round a value unless it is None."""
     return None if value is None else round(value, digits)
--- a/lupintack/scale/resources.py
+++ b/lupintack/scale/resources.py
@@ -1,4 +1,4 @@
-"""What a scale run needs of the machine, and whether it has that: asked before anything is started."""
+"""Checks before a run starts that the machine has enough memory, processes and descriptors for it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 WATCHERS_PER_DISCOVERY = 500
 
 # Descriptors
-DESCRIPTORS_PER_ROUTER = 5  # datagrams, listener, its selector, discovery, the lock of its name
-DESCRIPTORS_PER_PROCESS = 64  # standard streams, libraries, and room for exchanges that come and go
-EXCHANGES_PER_ROUTER = 2  # beyond those, on average, at the busiest moment
+DESCRIPTORS_PER_ROUTER = 5  # datagram socket, listener, its selector, discovery socket, name lock
+DESCRIPTORS_PER_PROCESS = 64  # standard streams, libraries, and a reserve for short-lived exchanges
+EXCHANGES_PER_ROUTER = 2  # additional, on average, at peak load
 
-# Memory in bytes, a little over what runs of 50, 100 and 200 took, and tables of 1,000 and 3,000 records
+# Bytes of memory, slightly above measurements with 50, 100 and 200 routers, and 1,000 and 3,000 records
 COORDINATOR_BYTES = 32 * MIB
 HOLLOW_PROCESS_BYTES = 28 * MIB
 HOLLOW_ROUTER_BYTES = 120 * 1024
-RECORD_BYTES = 700  # of one other router at one router
+RECORD_BYTES = 700  # of one router in the tables of another
 DISCOVERY_PROCESS_BYTES = 28 * MIB
 WATCHER_BYTES = 32 * 1024
 REAL_PROCESS_BYTES = 45 * MIB
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What the machine allows."""
+    """Resources of a machine."""
 
     cores: int
     memory_bytes: int
@@ -41,7 +41,7 @@
 
     @staticmethod
     def here() -> Machine:
-        """This machine, as the kernel tells it."""
+        """Return the resources of this machine, as reported by the kernel."""
         line = next(x for x in Path("/proc/meminfo").read_text().splitlines() if x.startswith("MemTotal:"))
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         return Machine(len(os.sched_getaffinity(0)), int(line.split()[1]) * 1024, soft)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Processes:
-    """How many processes of each kind a run starts."""
+    """The number of processes of each kind in a run."""
 
     hollow: int
     discovery: int
@@ -57,12 +57,12 @@
 
     @property
     def total(self) -> int:
-        """All, the coordinator among them."""
+        """The number of all processes, including the coordinator."""
         return self.hollow + self.discovery + self.real + 1
 
 
 def plan_processes(size: FleetSize, hollow: int, real: int, machine: Machine) -> Processes:
-    """The processes of a run; `hollow`: as wanted, 0 for what suits the machine."""
+    """Plan the processes of a run; `hollow`: the requested number, 0 for a default by the machine."""
     default_count = min(PROCESSES_PER_CORE * machine.cores, -(-size.routers // MIN_ROUTERS_PER_PROCESS))
     return Processes(
         min(hollow or default_count, size.routers), -(-size.routers // WATCHERS_PER_DISCOVERY), real
@@ -70,7 +70,7 @@
 
 
 def estimate_memory(size: FleetSize, processes: Processes) -> int:
-    """Bytes that all processes of a run will take."""
+    """Estimate the memory of all processes of a run, in bytes."""
     per_router = HOLLOW_ROUTER_BYTES + RECORD_BYTES * size.routers + WATCHER_BYTES
     fixed = (
         COORDINATOR_BYTES
@@ -81,7 +81,7 @@
 
 
 def estimate_descriptors(size: FleetSize, processes: Processes) -> int:
-    """Descriptors of the process that needs most."""
+    """Estimate the descriptors of the process that needs the most."""
     routers = -(-size.routers // processes.hollow)
     hollow = DESCRIPTORS_PER_PROCESS + routers * (DESCRIPTORS_PER_ROUTER + EXCHANGES_PER_ROUTER)
     discovery = DESCRIPTORS_PER_PROCESS + WATCHERS_PER_DISCOVERY
@@ -90,14 +90,14 @@
 
 
 def check(size: FleetSize, processes: Processes, machine: Machine) -> None:
-    """Raise ScaleError where the machine does not allow the run."""
+    """Raise ScaleError if the machine lacks the resources for the run."""
     if processes.total > MAX_PROCESSES:
-        raise ScaleError(f"processes: {processes.total} would run, at most {MAX_PROCESSES} may")
+        raise ScaleError(f"processes: {processes.total} would run, at most {MAX_PROCESSES} are allowed")
     needed, allowed = estimate_memory(size, processes), min(MAX_MEMORY_BYTES, machine.memory_bytes // 2)
     if needed > allowed:
-        raise ScaleError(f"memory: about {needed // MIB} MiB would be taken, {allowed // MIB} MiB may be")
+        raise ScaleError(f"memory: about {needed // MIB} MiB are needed, {allowed // MIB} MiB are allowed")
     descriptors = estimate_descriptors(size, processes)
     if descriptors > machine.descriptors:
         raise ScaleError(
-            f"descriptors: a process would need {descriptors}, and may open {machine.descriptors} (ulimit -n)"
+            f"descriptors: a process would need {descriptors}, the limit is {machine.descriptors} (ulimit -n)"
         )
--- a/lupintack/scale/script.py
+++ b/lupintack/scale/script.py
@@ -1,4 +1,4 @@
-"""The script of a scale run: faults at their times, read from TOML and checked before anything is started.
+"""The fault script of a scale run, read from TOML and checked before anything is started.
 
 [[fault]]
 at_s = 10.0
@@ -26,23 +26,23 @@
 
 
 class FaultKind(Enum):
-    """What a fault does to the routers that it names."""
+    """What a fault does to the selected routers."""
 
-    KILL = "kill"  # processes end without a word; started again after for_s, or never where that is 0
-    RESTART = "restart"  # the same, started again at once where for_s is 0
-    LEAVE = "leave"  # processes say that they leave, and end; as `kill` otherwise
-    PAUSE = "pause"  # processes stand still for for_s; for good where that is 0
-    CUT = "cut"  # nothing passes between them and all others for for_s; for good where that is 0
+    KILL = "kill"  # routers end without notice; restarted after for_s, never if it is 0
+    RESTART = "restart"  # as KILL, but restarted immediately if for_s is 0
+    LEAVE = "leave"  # routers announce that they leave, and end; otherwise as KILL
+    PAUSE = "pause"  # routers pause for for_s; permanently if it is 0
+    CUT = "cut"  # routers are cut off from all others for for_s; permanently if it is 0
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One fault. `who`: region:NAME, zone:NAME, site:NAME, router:NAME, any:COUNT, allocator, voters, all."""
+    """One fault. `who`: region|zone|site|router:NAME, any:COUNT, allocator, voters, voter (random), all."""
 
     at_s: Annotated[float, Meta(ge=0.0, le=86_400.0)]
     kind: FaultKind
     who: Annotated[tuple[Annotated[str, Meta(pattern=SELECTOR)], ...], Meta(min_length=1)]
     for_s: Annotated[float, Meta(ge=0.0, le=86_400.0)] = 0.0
-    discovery: bool = True  # of a cut: whether they are cut off from discovery as well
+    discovery: bool = True  # for CUT: whether discovery is cut off as well
 
 
 class Script(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -52,7 +52,7 @@
 
 
 def read_script(path: Path, routers: Sequence[RouterPlan], seconds: float) -> Script:
-    """The script in this file; ScaleError where it can't be used for these routers and this time."""
+    """Read a script; raise ScaleError if it is invalid for these routers or this run time."""
     try:
         data = read(path)
         if data is None:
@@ -70,17 +70,17 @@
 
 
 def check_selector(selector: str, routers: Sequence[RouterPlan], location: str) -> None:
-    """Raise ScaleError where nobody can be meant."""
+    """Raise ScaleError if a selector can't match any router."""
     kind, _, name = selector.partition(":")
     if kind == "any":
         if not name.isdigit() or not 1 <= int(name) <= len(routers):
-            raise ScaleError(f"{location}: who: any:COUNT is wanted, 1 to {len(routers)}, not {selector!r}")
+            raise ScaleError(f"{location}: who: any:COUNT must be 1 to {len(routers)}, not {selector!r}")
     elif name and not matching_routers(kind, name, routers):
         raise ScaleError(f"{location}: who: {selector!r}: there is no such {kind}")
 
 
 def matching_routers(kind: str, name: str, routers: Sequence[RouterPlan]) -> list[str]:
-    """The routers of a region, zone or site, or one by its name."""
+    """Return the names of the routers of a region, zone or site, or of one router."""
     attribute = "name" if kind == "router" else kind
     return [router.name for router in routers if getattr(router, attribute) == name]
 
@@ -92,7 +92,7 @@
     allocators: Sequence[str],
     random: Random,
 ) -> tuple[str, ...]:
-    """The routers that a fault names, each once, in the order of the plan."""
+    """Return the names of the routers that a fault selects, without duplicates, in plan order."""
     selected: set[str] = set()
     for selector in who:
         kind, _, name = selector.partition(":")
