--- a/lupintack/scale/membership_world.py
+++ b/lupintack/scale/membership_world.py
@@ -1,4 +1,4 @@
-"""The lab's fleet, joined from the start, with the processor time and bytes of each router.
+"""A simulated fleet of the lab that starts joined and counts the processor time and bytes of each router.
 
 The lab simulates clocks and packets; each datagram is encoded and decoded as on the wire. Every router begins
 with all records, and none of them is queued for gossip. Only the membership and the codec are timed, not the
@@ -28,14 +28,14 @@
 
 
 class Totals(NamedTuple):
-    """The cost of some routers so far."""
+    """The accumulated cost of some routers."""
 
     cpu_us: float
     bytes: int
 
 
 class Mark(NamedTuple):
-    """The totals at a moment, by region."""
+    """A snapshot of the totals by region."""
 
     at_us: int
     by_region: dict[str, Totals]
@@ -45,7 +45,7 @@
 
 
 class JoinedWorld(World):
-    """Routers that all know one another when the run begins."""
+    """A fleet whose routers have the records of all others when the run begins."""
 
     def __init__(self, seed: int, routers: int, script: Sequence[Fault], sites: int) -> None:
         """Prepare a fleet of `routers` in `sites` and the faults of `script`."""
@@ -58,7 +58,7 @@
         self.marks: list[Mark] = []
 
     def start_joined(self) -> None:
-        """Start all processes, each with the records of all."""
+        """Start all routers, each with the records of all others."""
         starts = {name: number + 1 for number, name in enumerate(self.names)}
         records = [
             (name, start, 1, int(State.ALIVE), self.hosts[name].site, f"{name}:1")
@@ -109,7 +109,7 @@
     # Overrides that measure each router's processor time
 
     def call(self, host: Host, method: Callable[..., Actions], *arguments: Any) -> None:
-        """Call a process; pauses are not simulated here."""
+        """Call a router's membership; pauses are not simulated here."""
         if host.membership is None or getattr(method, "__self__", None) is not host.membership:
             return
         self.steps += 1
--- a/lupintack/scale/request_path.py
+++ b/lupintack/scale/request_path.py
@@ -1,10 +1,10 @@
-"""Processor time of one router process for a request, by the size of the answer, over real connections.
+"""Processor time of one router process for each request, by answer size, over real connections.
 
     python -m lupintack.scale.request_path [--sizes 1000,50000,235000] [--repeats 5] [--seconds 3]
 
-Clients and stand-in caches share the process of this program; only the router process is counted (its user
-and system time by the kernel, less its idle pace). One JSON line a size. Size 0: no requests, the idle pace
-itself, in microseconds a second.
+Clients and stand-in caches run in the process of this program; only the router process is measured (its user
+and system time by the kernel, minus its idle use). Prints one JSON line for each size. Size 0: no requests;
+`cpu_us` is the idle use, in microseconds per second.
 """
 
 from __future__ import annotations
@@ -24,34 +24,34 @@
 from lupintack.standins.processes import Load, Processes
 
 CLIENTS = 16
-SERVICE_CLASS = "map-tiles"  # what the clients ask for
+SERVICE_CLASS = "map-tiles"  # of the clients' requests
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 IDLE_S = 2.0
 
 
 class RequestCost(NamedTuple):
-    """One repeat."""
+    """Results of one repeat."""
 
-    cpu_us: float  # a request
+    cpu_us: float  # for each request
     requests_per_s: float
-    core: float  # of one core in use, in the mean
-    failures: int  # requests that ended otherwise than with 200
+    core: float  # mean use, as a share of one core
+    failures: int  # requests without status 200
 
 
 def cpu_s(pid: int) -> float:
-    """User and system time of a process so far."""
+    """Return the user and system time of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_kib(pid: int) -> int:
-    """Resident memory."""
+    """Return the resident memory of a process."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS:"))
 
 
 def run_load(router_address: tuple[str, int], pid: int, seconds: float, idle_core: float) -> RequestCost:
-    """Clients for so long, and what the router spent on each request."""
+    """Run clients for some seconds, and return the cost of a request to the router."""
     began, cpu_before_s = time.monotonic(), cpu_s(pid)
     load = Load(router_address, CLIENTS)
     time.sleep(seconds)
@@ -68,7 +68,7 @@
 
 
 def measure_idle(repeats: int, seconds: float) -> dict[str, float]:
-    """A router process that nobody asks for anything."""
+    """Measure a router process without requests."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(Path(folder))
         try:
@@ -89,14 +89,14 @@
 
 
 def idle_us(pid: int, seconds: float) -> float:
-    """Processor time of a second, over some."""
+    """Return the processor time used in a second, averaged over `seconds`."""
     began, cpu_before_s = time.monotonic(), cpu_s(pid)
     time.sleep(seconds)
     return (cpu_s(pid) - cpu_before_s) * 1e6 / (time.monotonic() - began)
 
 
 def measure(size: int, repeats: int, seconds: float) -> dict[str, float]:
-    """All repeats of one size of answers, on one router process."""
+    """Run all repeats for one answer size, on one router process."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(Path(folder), fleet=Fleet(Terms(sizes=SIZES | {SERVICE_CLASS: size})))
         try:
--- a/lupintack/scale/role_allocator.py
+++ b/lupintack/scale/role_allocator.py
@@ -1,9 +1,9 @@
-"""What one lease request costs the fleet's allocator, by holders and budgets.
+"""Cost of a lease request to the fleet's allocator, by number of holders and budgets.
 
-Holders ask in turn, all of them once in a request interval, on a clock that the requests move on: so shares
-are worked out as often as in a running fleet. The first budgets are wanted by every holder, each of the rest
-by the holders of one site. `cpu_us` is the allocator's work alone; the codec's and a newcomer's request are
-in the details.
+Holders send requests in turn, each once per request interval, on a clock that the requests advance, so shares
+are computed as often as in a running fleet. All holders request the first budgets; only the holders of one
+site request each of the others. `cpu_us` is the allocator's time alone; the details have the codec's time and
+the first request of a new holder.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from lupintack.membership.messages import MessageCodec
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
-COMMON_BUDGETS = 3  # wanted by every holder
-COMMON_UNITS_PER_HOLDER = 10  # of a common budget's whole
-SITE_UNITS = 32  # the whole of a site's budget
-DEMAND_CHANGE_PROBABILITY = 0.25  # that a holder's demand is another than in its last request
+COMMON_BUDGETS = 3  # requested by every holder
+COMMON_UNITS_PER_HOLDER = 10  # of a common budget's total
+SITE_UNITS = 32  # the total of a site's budget
+DEMAND_CHANGE_PROBABILITY = 0.25  # that a holder's demand differs from that of its last request
 MIN_REQUESTS = 150  # in one repeat
-SHARE_INTERVALS = 3  # in one repeat, at the least
+SHARE_INTERVALS = 3  # in one repeat, at least
 NEWCOMERS = 3
 MICROSECONDS = 1_000_000
 
 
 @dataclass(slots=True)
 class SimulatedHolder:
-    """One holder as the measurement plays it."""
+    """The state of a simulated holder."""
 
     name: str
     demand: tuple[int, ...]
@@ -42,12 +42,12 @@
 
 @dataclass(slots=True)
 class FillableAllocator(Allocator):
-    """Works out no shares while its ledger is filled: each newcomer would have it done for all."""
+    """Computes no shares while its ledger is filled: each new holder would cause it for all holders."""
 
     filling: bool = field(default=False)
 
     def compute_shares(self, now: int) -> None:
-        """Unless the ledger is being filled."""
+        """Compute the shares unless the ledger is being filled."""
         if not self.filling:
             Allocator.compute_shares(self, now)
 
@@ -56,7 +56,7 @@
     """An allocator with all holders in its ledger, past the wait of a new epoch."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """An allocator past its wait, with its ledger full."""
+        """Create an allocator and fill its ledger."""
         self.size, self.budgets = parameters.size, parameters.budgets
         self.random = Random(parameters.seed)
         self.terms = Terms()
@@ -76,7 +76,7 @@
         self.fill()
 
     def new_holder(self, name: str, number: int) -> SimulatedHolder:
-        """A holder that wants the common budgets, and its site's."""
+        """Return a holder with demand for the common budgets and its site's."""
         sites = max(0, self.budgets - COMMON_BUDGETS)
         demand = [0] * self.budgets
         for n in range(min(COMMON_BUDGETS, self.budgets)):
@@ -86,11 +86,11 @@
         return SimulatedHolder(name, tuple(demand), held=(0,) * self.budgets)
 
     def common_demand(self) -> int:
-        """About as much as there is, in the mean."""
+        """Return random demand, about the available units per holder on average."""
         return self.random.randrange(2 * COMMON_UNITS_PER_HOLDER)
 
     def fill(self) -> None:
-        """Each holder's first request, at one moment; then one with shares."""
+        """Send each holder's first request at the same time, then one that computes shares."""
         self.allocator.filling = True
         for holder in self.holders:
             self.request(holder)
@@ -99,7 +99,7 @@
         self.step()
 
     def next_request(self, holder: SimulatedHolder) -> LeaseRequest:
-        """What a holder says next; now and then its demand is another."""
+        """Return a holder's next request, with changed demand at random."""
         if self.random.random() < DEMAND_CHANGE_PROBABILITY:
             n = self.random.randrange(min(COMMON_BUDGETS, self.budgets))
             holder.demand = (*holder.demand[:n], self.common_demand(), *holder.demand[n + 1 :])
@@ -110,7 +110,7 @@
         )
 
     def request(self, holder: SimulatedHolder) -> int:
-        """One request; the processor time of the allocator, in nanoseconds."""
+        """Send one request and return the processor time of the allocator in nanoseconds."""
         lease_request = self.next_request(holder)
         began = thread_time_ns()
         grant = self.allocator.handle_request(lease_request, self.now_us)
@@ -120,13 +120,13 @@
         return spent
 
     def step(self) -> int:
-        """The next holder's request, in its time."""
+        """Advance the clock and send the next holder's request."""
         self.now_us += self.step_us
         self.turn = (self.turn + 1) % self.size
         return self.request(self.holders[self.turn])
 
     def sample(self) -> Sample:
-        """One repeat."""
+        """Measure one repeat."""
         per_interval = self.size * self.terms.share_interval_us / self.terms.request_interval_us
         requests = max(MIN_REQUESTS, math.ceil(SHARE_INTERVALS * per_interval))
         cpu_us = sum(self.step() for _ in range(requests)) / 1000 / requests
@@ -143,7 +143,7 @@
         return Sample(round(cpu_us, 3), request_bytes + grant_bytes, 2.0, details)
 
     def measure_codec(self, holder: SimulatedHolder) -> tuple[float, float, float]:
-        """Bytes of a request and a grant, and what the allocator's codec spends on the two."""
+        """Return the bytes of a request and of a grant, and the codec's processor time for both."""
         lease_request = LeaseRequest(
             holder.name, 1, holder.sequence, self.epoch, holder.demand, holder.held, in_use=holder.held
         )
@@ -157,7 +157,7 @@
         return float(len(raw)), float(len(answer)), round(codec_us, 3)
 
     def newcomer_us(self) -> float:
-        """Processor time of the first request of a holder that is not in the ledger; it leaves again."""
+        """Return the processor time of a new holder's first request; the holder leaves afterwards."""
         spent = 0
         for _ in range(NEWCOMERS):
             self.newcomers += 1
@@ -170,17 +170,17 @@
         return round(spent / 1000 / NEWCOMERS, 3)
 
     def state_bytes(self) -> int:
-        """Of the allocator, ledger and shares."""
+        """Return the memory of the allocator with its ledger and shares."""
         return deep_bytes(self.allocator)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no resources are open."""
 
 
 ROLE = Role(
     name="allocator",
     per="lease request",
-    size_is="holders",
+    size_label="holders",
     make=AllocatorSubject,
     memory_bytes=lambda parameters: 40_000_000 + parameters.size * (3_000 + 400 * parameters.budgets),
 )
--- a/lupintack/scale/role_cut.py
+++ b/lupintack/scale/role_cut.py
@@ -1,7 +1,7 @@
-"""What membership costs the routers of a region that is cut off from all others, in a fleet of N.
+"""Cost of the membership to the routers of a region that is cut off, by fleet size.
 
-`cpu_us` and `bytes` are for a router of that region and second, over the cut; the details have the others in
-the same time, both after the cut's end, and whether all views are one again.
+`cpu_us` and `bytes` are per router of that region and second during the cut. The details have the other
+routers in the same interval, both groups after the cut, and the number of distinct views at the end.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 
 
 class CutSubject:
-    """Worlds of one size, one a repeat, each with a further seed."""
+    """Fleets of one size, one for each repeat, each with the next seed."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """A fleet of the size of `parameters`."""
+        """Prepare runs of the size and seed of `parameters`."""
         self.size, self.seed = parameters.size, parameters.seed
         self.regions = region_count(self.size)
         self.world: JoinedWorld | None = None
 
     def sample(self) -> Sample:
-        """One run."""
-        self.world = None  # the one before is freed first
+        """Measure one run."""
+        self.world = None  # frees the previous fleet first
         region = f"site{self.regions - 1}"
         length_us = (CUT_TO_S - CUT_FROM_S) * SECOND_US
         cut = Fault(CUT_FROM_S * SECOND_US, "site", length_us, (region,))
@@ -67,20 +67,20 @@
         return Sample(round(cut_off.cpu_us_per_s, 3), round(cut_off.bytes_per_s, 1), 0.0, rounded)
 
     def state_bytes(self) -> int:
-        """Of one router's view and verdicts."""
+        """Return the memory of one router's view, failure arbiter and detector."""
         assert self.world is not None
         membership = running_membership(self.world)
         return deep_bytes(membership.view, membership.state.arbiter, membership.detector.observed)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Free the fleet."""
         self.world = None
 
 
 ROLE = Role(
     name="cut",
     per=f"router-second in a cut-off region of {MAX_REGIONS}",
-    size_is="routers",
+    size_label="routers",
     make=CutSubject,
     memory_bytes=lambda parameters: 60_000_000 + ENTRY_BYTES * parameters.size**2,
     min_size=2 * MIN_ROUTERS_PER_REGION,
--- a/lupintack/scale/role_discovery.py
+++ b/lupintack/scale/role_discovery.py
@@ -1,7 +1,7 @@
-"""What the stand-in of the discovery service spends on a purge to N watchers, over loopback.
+"""Cost of a purge to the stand-in of the discovery service, by number of watchers, over loopback.
 
-`cpu_us` is the processor time of the thread that sends one purge to all of them; the watchers read in a
-process of their own. `last_s` runs from the call to the last watcher's line.
+`cpu_us` is the processor time of the thread that sends one purge to all watchers; the watchers read in a
+separate process. `last_s` is the time from the call until the last watcher has the line.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from lupintack.standins.discovery_server import DiscoveryServer
 
 STACK_BYTES = 256 * 1024
-IDLE_S = 2.2  # two beats at the least
-SETTLE_S = 0.05  # the watchers' process has begun to wait by then
+IDLE_S = 2.2  # at least two heartbeats
+SETTLE_S = 0.05  # lets the watchers' process start waiting
 OWN_DESCRIPTORS = 64
 
 
 class DiscoverySubject:
-    """A stand-in and its watchers."""
+    """A discovery stand-in and its watchers."""
 
     def __init__(self, parameters: Parameters, idle_s: float = IDLE_S) -> None:
-        """`idle_s`: how long idle watchers are measured."""
+        """`idle_s`: duration of the measurement of idle watchers; 0: none."""
         self.size = parameters.size
         self.number = 0
         stack = threading.stack_size(STACK_BYTES)
@@ -38,12 +38,12 @@
         self.idle_bytes_per_s = self.watchers.idle(idle_s) if idle_s else 0.0
 
     def await_watchers(self) -> None:
-        """Until the stand-in has taken all of them in."""
+        """Wait until the stand-in has registered all watchers."""
         while len(self.discovery_server.watchers) < self.size:
             time.sleep(0.01)
 
     def sample(self) -> Sample:
-        """One purge."""
+        """Measure one purge."""
         self.number += 1
         asset = f"{self.number:016x}"
         self.watchers.start_waiting(asset.encode())
@@ -61,11 +61,11 @@
         return Sample(cpu_us, len(self.discovery_server.events[-1][1]), float(self.size), details)
 
     def state_bytes(self) -> int:
-        """Of the log of events; sockets and their threads are the kernel's."""
+        """Return the memory of the event log, without sockets and threads."""
         return deep_bytes(self.discovery_server.events)
 
     def close(self) -> None:
-        """The watchers' process, and the stand-in."""
+        """End the watchers' process and the stand-in."""
         self.watchers.close()
         self.discovery_server.close()
 
@@ -73,7 +73,7 @@
 ROLE = Role(
     name="discovery",
     per="purge to all watchers",
-    size_is="watchers",
+    size_label="watchers",
     make=DiscoverySubject,
     memory_bytes=lambda parameters: 80_000_000 + 300_000 * parameters.size,
     descriptors=lambda parameters: parameters.size + OWN_DESCRIPTORS,
--- a/lupintack/scale/role_membership.py
+++ b/lupintack/scale/role_membership.py
@@ -1,8 +1,8 @@
-"""What membership costs one router a second in a fleet of N, in the lab's world (`membership_world`).
+"""Cost of the membership to a router by fleet size, in a simulated fleet (`membership_world`).
 
-`cpu_us`, `bytes` and `messages` are for a router and second while nothing happens. Restarts, kills and
-machines that fall silent follow, a few of each; the details say what one restart costs each of the others
-and how long each kind takes to be told. `role_cut` has the cut of a region.
+`cpu_us`, `bytes` and `messages` are per router and second in an idle fleet. Then a few routers each restart,
+are killed, or vanish without notice; the details have the cost of a restart to each other router, and the
+detection times of kills and vanished routers. `role_cut` measures the cut of a region.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 EVENT_INTERVAL_S = 1.0  # between two events of one kind
 DATAGRAMS = 2000
 DATAGRAM_BYTES = 200
-ENTRY_BYTES = 700  # of one router's view, by what was measured
+ENTRY_BYTES = 700  # measured, for one entry of one router's view
 
 
 class MembershipSubject:
-    """Worlds of one size, one a repeat, each with a further seed."""
+    """Fleets of one size, one for each repeat, each with the next seed."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """A fleet of the size of `parameters`, before its first second."""
+        """Prepare runs of the size and seed of `parameters`."""
         self.size, self.seed = parameters.size, parameters.seed
         self.world: JoinedWorld | None = None
         self.socket_us = datagram_us()
 
     def build(self) -> JoinedWorld:
-        """A world that is joined, and its marks."""
+        """Return a joined fleet with its scheduled marks."""
         names = [f"n{number}" for number in range(self.size)]
         world = JoinedWorld(self.seed, self.size, script(names), region_count(self.size))
         self.seed += 1
@@ -51,8 +51,8 @@
         return world
 
     def sample(self) -> Sample:
-        """One run."""
-        self.world = None  # the one before is freed first
+        """Measure one run."""
+        self.world = None  # frees the previous fleet first
         world = self.world = self.build()
         world.run_to(SILENT_TO_S * SECOND_US)
         idle, restarts, _, _ = [Phase(first, last, world) for first, last in pairwise(world.marks)]
@@ -79,7 +79,7 @@
         )
 
     def state_bytes(self) -> int:
-        """Of one router, what it shares with no other."""
+        """Return the memory of one router's own tables."""
         assert self.world is not None
         membership = running_membership(self.world)
         return deep_bytes(
@@ -92,17 +92,17 @@
         )
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Free the fleet."""
         self.world = None
 
 
 def running_membership(world: JoinedWorld) -> Membership:
-    """The membership of a router that runs."""
+    """Return the membership of a running router."""
     return next(host.membership for host in world.hosts.values() if isinstance(host.membership, Membership))
 
 
 def status_page(membership: Membership) -> dict[str, float]:
-    """What `lupintack fleet status` costs the router that is asked: its answer with all members."""
+    """Measure the answer to `lupintack fleet status`, which lists all members."""
     fleet_address = FleetAddress("n0", "site0", ("127.0.0.1", 0), "slope", "a secret of this run", (), {})
     fleet = FleetTransport(fleet_address, membership.config, 1, lambda change: None, lambda: True)
     try:
@@ -116,7 +116,7 @@
 
 
 def full_exchange(world: JoinedWorld, membership: Membership) -> dict[str, float]:
-    """What a router that joins costs the seed that it asks: its frame read, the answer with all records."""
+    """Measure a join at the seed: decoding the request and encoding the answer with all records."""
     me = (
         membership.name,
         membership.me.start,
@@ -136,14 +136,14 @@
 
 
 def detection_s(times_us: list[int], statistic: object) -> float:
-    """A figure of the times from an event to each router that was told of it; 0 where there were none."""
+    """Return the median or maximum detection time in seconds; 0 without detections."""
     if not times_us:
         return 0.0
     return (max(times_us) if statistic is max else median(times_us)) / SECOND_US
 
 
 def script(names: list[str]) -> list[Fault]:
-    """Restarts, kills and silences, of routers that are no seeds, as far as there are so many."""
+    """Return restarts, kills and vanish faults of non-seed routers, fewer in a small fleet."""
     victims = iter(names[3:])
     faults = []
     plans = (("restart", RESTARTS, IDLE_TO_S), ("kill", KILLS, RESTARTS_TO_S), ("vanish", SILENT, KILLS_TO_S))
@@ -158,7 +158,7 @@
 
 
 def datagram_us() -> float:
-    """Processor time of one datagram's way out of a socket and into another, both system calls."""
+    """Return the processor time to send and receive one datagram, including both system calls."""
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver,
@@ -175,7 +175,7 @@
 ROLE = Role(
     name="membership",
     per="router-second, idle",
-    size_is="routers",
+    size_label="routers",
     make=MembershipSubject,
     memory_bytes=lambda parameters: 60_000_000 + ENTRY_BYTES * parameters.size**2,
     descriptors=lambda parameters: 16,
--- a/lupintack/scale/role_purge.py
+++ b/lupintack/scale/role_purge.py
@@ -1,7 +1,7 @@
-"""What a purge costs a router, from its line off the discovery service to the decision module and own copies.
+"""Cost of a purge to a router, from the discovery line to the decision module and the local cache.
 
-The size is the number of purges that come at once. `cpu_us` is for purges of this moment, which reach the
-module; `missed_cpu_us` for those of the past, as after a cut; `copies_cpu_us` with own copies held.
+The size is the number of purges in a burst. `cpu_us` is for current purges, which reach the decision module;
+`missed_cpu_us` for past purges, as after a cut; `copies_cpu_us` for a router with local copies.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from lupintack.interface import ServiceClass, Settings
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
-PURGES_PER_S = 25  # of the fleet that is planned for
+PURGES_PER_S = 25  # in a fleet of the planned size
 PURGE_SETTLE_MS = 6000.0
 COPY_BYTES = 10_000
-COPIES = 2_000  # own copies of that size: about what 168 MB of spare memory has room for
-COPY_PURGES = 100  # in one repeat with own copies
+COPIES = 2_000  # local copies of that size: about the capacity of 168 MB of memory
+COPY_PURGES = 100  # in one repeat with local copies
 LINK_BYTES_PER_S = 1e9
 
 
 class PurgeReader:
-    """Discovery's reader, the member table and the core of one router; all on the calling thread."""
+    """Discovery client, member table and core of one router, run on the calling thread."""
 
     def __init__(self, seed: int, copies: int = 0) -> None:
-        """A purge table, and `copies` of objects that purges meet."""
+        """Create a router with `copies` local copies."""
         settings = Settings(
             classes=(ServiceClass(name="a", deadline_ms=5000.0),), purge_settle_ms=PURGE_SETTLE_MS
         )
@@ -50,7 +50,7 @@
             self.copies.put((-1 - number, 0), 0, answer)
 
     def read(self, raw: bytes) -> None:
-        """One line, all the way."""
+        """Process one line of discovery completely."""
         self.discovery.process_line(raw, self.line_buffer)
         update = self.member_table.mailbox.get_nowait()
         assert update is not None
@@ -58,15 +58,15 @@
 
 
 class PurgeSubject:
-    """One size."""
+    """Measures purges in a burst of one size."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """The table of a router before its first purge."""
+        """Create a router without purges."""
         self.size, self.seed = parameters.size, parameters.seed
         self.reader = PurgeReader(self.seed)
 
     def sample(self) -> Sample:
-        """One repeat: three routers, each of its own."""
+        """Measure one repeat, with three separate routers."""
         now_lines, missed_lines = purge_lines(self.size, 0.0), purge_lines(self.size, 1000.0 / PURGES_PER_S)
         self.reader = PurgeReader(self.seed)
         now_us = purge_cpu_us(self.reader, now_lines)
@@ -85,17 +85,17 @@
         return Sample(now_us, sum(map(len, now_lines)) / self.size, 1.0, details)
 
     def state_bytes(self) -> int:
-        """Of the two tables of purges."""
+        """Return the memory of both purge tables."""
         return deep_bytes(
             self.reader.member_table.purge_memory.purges, self.reader.core.router.purges.purge_times
         )
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no resources are open."""
 
 
 def purge_cpu_us(reader: PurgeReader, raw_lines: list[bytes]) -> float:
-    """Processor time of one purge, over all lines."""
+    """Return the mean processor time of one purge over all lines."""
     began = thread_time_ns()
     for raw in raw_lines:
         reader.read(raw)
@@ -103,7 +103,7 @@
 
 
 def purge_lines(count: int, interval_ms: float) -> list[bytes]:
-    """Purges of different objects as discovery words them, the last of this moment, the others before it."""
+    """Return discovery lines with purges of distinct objects, `interval_ms` apart, the last one now."""
     now_ms = int(time.time() * 1000)
     raw_lines = []
     for number in range(1, count + 1):
@@ -114,14 +114,14 @@
 
 
 def no_connection(number: int, host: Endpoint) -> MemberLink:
-    """No request is sent here."""
-    raise AssertionError(f"a connection to {host.name}")
+    """Raise AssertionError: no request is sent in this measurement."""
+    raise AssertionError(f"unexpected connection to {host.name}")
 
 
 ROLE = Role(
     name="purge",
     per="purge",
-    size_is="purges at once",
+    size_label="purges in a burst",
     make=PurgeSubject,
     memory_bytes=lambda parameters: 120_000_000 + 1_200 * parameters.size,
 )
--- a/lupintack/scale/role_reload.py
+++ b/lupintack/scale/role_reload.py
@@ -1,7 +1,7 @@
-"""What one SIGHUP costs a router that knows N members, and what their list costs it.
+"""Cost of a reload (SIGHUP) and of list events to a router, by number of members.
 
-`cpu_us` is for the whole of a reload: the platform's file and the operator's read, checked, compared, and
-the new settings applied in the core's turn. Each file differs from the one before it.
+`cpu_us` is for a complete reload: the platform and operator files are read, checked and compared, and the new
+settings are applied in the core's turn. Each file differs from the previous one.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class ReloadSubject:
-    """A router that is bound and not started: its turns run on the calling thread."""
+    """A router with bound sockets that is not started: its turns run on the calling thread."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """A configuration with as many members as `parameters` has."""
+        """Create a router with as many members as the size of `parameters`."""
         self.folder = tempfile.TemporaryDirectory()
         self.file = Path(self.folder.name) / "config.json"
         self.environ = {"EDGE_CONFIG": str(self.file)}
@@ -47,18 +47,18 @@
         self.log.setLevel(logging.CRITICAL)
 
     def write(self) -> None:
-        """A file that differs from the last one by a class's aim."""
+        """Write a platform configuration that differs from the last one in a class's latency objective."""
         self.version += 1
         self.platform_config["settings"]["services"][0]["aim"] = 600.0 + self.version
         self.file.write_text(json.dumps(self.platform_config))
 
     def step(self) -> None:
-        """One reload."""
+        """Run one reload."""
         if not reload_files(self.node, self.environ):
-            raise SlopeError("the router refused the new configuration")
+            raise SlopeError("the router rejected the new configuration")
 
     def sample(self) -> Sample:
-        """One repeat."""
+        """Measure one repeat."""
         spent_ns = 0
         for _ in range(RELOADS):
             self.write()
@@ -69,17 +69,17 @@
         return Sample(round(spent_ns / 1000 / RELOADS, 3), self.file.stat().st_size, 1.0, details)
 
     def full_list_us(self) -> float:
-        """Processor time of the whole list as one event."""
+        """Return the processor time of an event with the full list."""
         return self.event_us({"pool": {"seq": 1, "whole": True, "hosts": self.hosts}})
 
     def delta_us(self) -> float:
-        """Processor time of an event with one member's line."""
+        """Return the mean processor time of an event with one member."""
         host_lines = [self.hosts[number % len(self.hosts)] for number in range(DELTAS)]
         times = [self.event_us({"pool": {"seq": 1, "whole": False, "hosts": [line]}}) for line in host_lines]
         return round(sum(times) / DELTAS, 3)
 
     def event_us(self, event: dict[str, Any]) -> float:
-        """Processor time of one event, from its line to the module."""
+        """Return the processor time of one event, from its line to the decision module."""
         raw = json.dumps({"rev": self.node.discovery.last_revision + 1, **event}).encode()
         began = thread_time_ns()
         self.node.discovery.process_line(raw, LineBuffer(0, SILENCE_TIMEOUT_S))
@@ -87,14 +87,14 @@
         return (thread_time_ns() - began) / 1000
 
     def receive_updates(self) -> None:
-        """What the member table's own thread does."""
+        """Apply the queued updates, as the member table's thread does."""
         while not self.node.member_table.mailbox.empty():
             update = self.node.member_table.mailbox.get_nowait()
             assert update is not None
             self.node.member_table.receive(update)
 
     def state_bytes(self) -> int:
-        """Of the member table, the core's table and the module."""
+        """Return the memory of the tables of members, member links and endpoints."""
         core = self.node.core
         return deep_bytes(
             self.node.member_table.listed_endpoints,
@@ -104,14 +104,14 @@
         )
 
     def close(self) -> None:
-        """The router's sockets, and the folder."""
+        """Close the router's sockets and remove the folder."""
         self.log.setLevel(self.log_level)
         self.node.end()
         self.folder.cleanup()
 
 
 def configuration(members: int) -> dict[str, Any]:
-    """The platform's configuration with so many members, most of them caches of the own location."""
+    """Return a platform configuration with that many members, most of them caches of the own location."""
     platform_config = deployment.configuration({}, "127.0.0.1:9")
     host_lines = [deployment.line(f"s-{n:05}", f"10.0.{n // 250}.{n % 250 + 1}:7000") for n in range(members)]
     notice = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": host_lines}}
@@ -122,7 +122,7 @@
 ROLE = Role(
     name="reload",
     per="reload",
-    size_is="members",
+    size_label="members",
     make=ReloadSubject,
     memory_bytes=lambda parameters: 60_000_000 + 20_000 * parameters.size,
     descriptors=lambda parameters: 32,
--- a/lupintack/scale/role_request.py
+++ b/lupintack/scale/role_request.py
@@ -1,8 +1,8 @@
-"""What one request costs the decision module, by the number of members that it knows.
+"""Cost of a request to the decision module, by number of members.
 
-One event is a request and the end of its one attempt, a hit. `cpu_us` is with all caches in the own location
-and objects whose scores the module still has; `new_object_cpu_us` where they are worked out. The details have
-the same with all but eight caches in other locations, and with as many parents as the size.
+One event is a request and the end of its only attempt, a hit. `cpu_us` is with all caches in the own location
+and objects whose scores are cached; `new_object_cpu_us` with objects whose scores are computed. The details
+have both with all but eight caches in other locations, and with as many parents as the size.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from lupintack.decisions.router import Router
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
-LOCATIONS = 140  # sites of the fleet that is planned for
-LOCAL_CACHES = 8  # caches of the own location where the others are elsewhere
+LOCATIONS = 140  # number of sites of the planned fleet
+LOCAL_CACHES = 8  # caches in the own location when the others are in other locations
 FEW_PARENTS = 4
 CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds
-OBJECTS = 500  # well under those whose scores are kept
+OBJECTS = 500  # well below the number of objects whose scores are cached
 NEW_OBJECTS = 1 << 40
 PARTS = 9
 REQUEST_INTERVAL_MS = 80.0  # between two requests
@@ -29,10 +29,10 @@
 
 
 class RequestTraffic:
-    """One router and its requests, one after another."""
+    """A router and a sequence of requests to it."""
 
     def __init__(self, members: list[i.Member], seed: int) -> None:
-        """A router that was told of these members."""
+        """Create a router with these members."""
         self.members = members
         self.router = Router(settings(), seed)
         self.router.handle(0.0, [i.MemberList(i.ListKind.FULL, tuple(members))])
@@ -41,7 +41,7 @@
         self.actions = 0
 
     def request(self, objects: int = OBJECTS) -> None:
-        """One request, and the end of the attempt that it leads to."""
+        """Handle one request, and the end of its attempt."""
         self.now_ms += REQUEST_INTERVAL_MS
         self.number += 1
         object_id = self.number * 7919 % objects
@@ -65,17 +65,17 @@
                 self.router.handle(self.now_ms + ANSWER_MS, [attempt_ended])
 
     def list_event(self) -> None:
-        """One member's line comes again."""
+        """Handle a list event that repeats one member."""
         self.number += 1
         member = self.members[self.number % len(self.members)]
         self.router.handle(self.now_ms, [i.MemberList(i.ListKind.DELTA, (member,))])
 
 
 class RequestSubject:
-    """The three routers of one size."""
+    """Three routers of one size: caches local, caches elsewhere, many parents."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """A router with as many members as `parameters` has."""
+        """Create the routers and send their warm-up requests."""
         size, seed = parameters.size, parameters.seed
         self.own = RequestTraffic(members(size, size, FEW_PARENTS), seed)
         self.elsewhere = RequestTraffic(members(size, min(LOCAL_CACHES, size), FEW_PARENTS), seed)
@@ -85,11 +85,11 @@
                 traffic.request()
 
     def step(self) -> None:
-        """One request with all caches in the own location."""
+        """Handle one request with all caches in the own location."""
         self.own.request()
 
     def sample(self) -> Sample:
-        """One repeat."""
+        """Measure one repeat."""
         before = self.own.actions
         own_us = request_cpu_us(self.own)
         actions = (self.own.actions - before) / REQUESTS
@@ -104,15 +104,15 @@
         return Sample(own_us, messages=actions, details=details)
 
     def state_bytes(self) -> int:
-        """Of the router with all caches in the own location."""
+        """Return the memory of the router with all caches in the own location."""
         return deep_bytes(self.own.router)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no resources are open."""
 
 
 def request_cpu_us(traffic: RequestTraffic, objects: int = OBJECTS) -> float:
-    """Processor time of one request, over a repeat; known objects are asked for once before."""
+    """Return the mean processor time of a request; known objects are first requested once, unmeasured."""
     for _ in range(OBJECTS if objects == OBJECTS else 0):
         traffic.request()
     began = thread_time_ns()
@@ -122,7 +122,7 @@
 
 
 def list_event_cpu_us(traffic: RequestTraffic) -> float:
-    """Processor time of one list event alone."""
+    """Return the mean processor time of one list event."""
     began = thread_time_ns()
     for _ in range(LIST_EVENTS):
         traffic.list_event()
@@ -130,7 +130,7 @@
 
 
 def members(caches: int, local_caches: int, parents: int) -> list[i.Member]:
-    """Caches, the first `near` in the own location 0, then parents and the origin in one further location."""
+    """Return caches, the first `local_caches` in the own location 0, then parents and origin in another."""
     result = []
     for number in range(caches):
         location = 0 if number < local_caches else 1 + number % (LOCATIONS - 1)
@@ -143,7 +143,7 @@
 
 
 def settings() -> i.Settings:
-    """Settings that allow second attempts, direct reads and cancelling."""
+    """Return settings that allow retries, hedged requests, direct reads and cancelling."""
     cls = i.ServiceClass(
         name="a", latency_objective_ms=500.0, latency_objective_stretch=2.0, deadline_ms=DEADLINE_MS
     )
@@ -174,7 +174,7 @@
 ROLE = Role(
     name="request",
     per="request",
-    size_is="members",
+    size_label="members",
     make=RequestSubject,
     memory_bytes=lambda parameters: 30_000_000 + 60_000 * parameters.size,
 )
--- a/lupintack/scale/roles.py
+++ b/lupintack/scale/roles.py
@@ -1,4 +1,4 @@
-"""The roles by name, and the check that a slope can be measured on this machine."""
+"""The roles by name, and checks that a slope can be measured on this machine."""
 
 from __future__ import annotations
 
@@ -28,30 +28,30 @@
         role_allocator,
     )
 }
-MEMORY_SHARE = 0.5  # of what is available: others use the machine, too
+MEMORY_SHARE = 0.5  # of the available memory: the machine is shared
 MEMORY_FILE = Path("/proc/meminfo")
 
 
 def role(name: str) -> Role:
-    """The role; SlopeError where there is none of that name."""
+    """Return a role by name; raise SlopeError if it does not exist."""
     if name not in ROLES:
-        raise SlopeError(f"no role {name!r}; wanted is one of {', '.join(ROLES)}")
+        raise SlopeError(f"no role {name!r}; use one of {', '.join(ROLES)}")
     return ROLES[name]
 
 
 def sizes(text: str) -> tuple[int, ...]:
-    """The sizes that the user named; SlopeError for anything but positive whole numbers."""
+    """Parse comma-separated sizes; raise SlopeError for anything but positive integers."""
     words = [word.strip() for word in text.split(",")]
     invalid = [word for word in words if not (word.isascii() and word.isdigit() and int(word) > 0)]
     if invalid:
-        raise SlopeError(f"--sizes: positive whole numbers are wanted, not {invalid[0]!r}")
+        raise SlopeError(f"--sizes: positive integers are required, not {invalid[0]!r}")
     return tuple(int(word) for word in words)
 
 
 def check(role: Role, parameters: Parameters) -> None:
-    """SlopeError where the role means nothing at this size, or the machine lacks memory or descriptors."""
+    """Raise SlopeError if the size is below the role's minimum, or memory or descriptors are insufficient."""
     if parameters.size < role.min_size:
-        raise SlopeError(f"--sizes: {parameters.size}: {role.min_size} at the least for {role.name}")
+        raise SlopeError(f"--sizes: {parameters.size}: must be at least {role.min_size} for {role.name}")
     needed, spare = role.memory_bytes(parameters), available_bytes() * MEMORY_SHARE
     if needed > spare:
         raise SlopeError(
@@ -65,7 +65,7 @@
 
 
 def available_bytes() -> int:
-    """Memory that could be had without swapping; without bound where the system does not say."""
+    """Return the memory available without swapping; unlimited if the system does not report it."""
     try:
         lines = MEMORY_FILE.read_text().splitlines()
     except OSError:
--- a/lupintack/scale/slope.py
+++ b/lupintack/scale/slope.py
@@ -1,8 +1,8 @@
-"""Slopes: what one event of a role costs at several sizes, measured on the project's own code.
+"""Slopes: the cost of one event of a role at several sizes, measured on the production code.
 
-A role module builds a `Subject` of one size. `measure` repeats it and keeps the spread; `fit` draws the line.
-Processor time is taken by `thread_time` around the code under test; `count_operations` counts instructions
-of the interpreter instead, so that a test of a slope does not depend on how busy the machine is.
+A role module builds a `Subject` of one size. `measure` repeats its sample and records the spread; `fit` fits
+a line. Processor time is measured with `thread_time` around the code under test; `count_operations` counts
+interpreter instructions instead, so that tests of slopes do not depend on the load of the machine.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 REPEATS = 5
 REFERENCE_ADDITIONS = 100_000
-SHARED_TYPES = (type, ModuleType, FunctionType)  # belong to the program, not to the state of one role
+SHARED_TYPES = (type, ModuleType, FunctionType)  # part of the program, not of one role's state
 
 
 class SlopeError(ValueError):
-    """A slope that can't be measured as asked; the text is one line for the user."""
+    """A slope can't be measured as requested; the text is one line for the user."""
 
 
 class Parameters(NamedTuple):
-    """What a subject is built from."""
+    """Parameters of a subject."""
 
-    size: int  # members, purges, watchers, routers or holders, as the role says
-    budgets: int  # of the allocator; other roles pass over it
+    size: int  # members, purges, watchers, routers or holders, by role
+    budgets: int  # of the allocator; other roles ignore it
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One repeat: for one event, or for one router and second."""
+    """Result of one repeat, per event or per router and second."""
 
     cpu_us: float
     bytes: float = 0.0
@@ -44,37 +44,37 @@
 
 
 class Subject(Protocol):
-    """One role at one size."""
+    """A role at one size."""
 
     def sample(self) -> Sample:
-        """One repeat."""
+        """Measure one repeat."""
 
     def state_bytes(self) -> int:
-        """Memory of the role's own tables."""
+        """Return the memory of the role's own tables."""
 
     def close(self) -> None:
-        """End what it has opened."""
+        """Release all resources that were opened."""
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """How a role is measured."""
+    """Description of a role and its measurement."""
 
     name: str
-    per: str  # what one figure is for: an event, or a router and second
-    size_is: str  # what the size counts
+    per: str  # unit of the results: an event, or a router and second
+    size_label: str  # what the size counts
     make: Callable[[Parameters], Subject]
-    memory_bytes: Callable[[Parameters], int]  # about, at most
+    memory_bytes: Callable[[Parameters], int]  # estimated upper bound
     descriptors: Callable[[Parameters], int] = lambda parameters: 0
     min_size: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class SlopePoint:
-    """The figures of one size. Processor time is the median of the repeats, with the least and the most.
+    """Results for one size. Processor time is the median of the repeats, with minimum and maximum.
 
-    `reference_us` is the processor time of a fixed loop of additions, taken beside the repeats: on a machine
-    that others use, cores are shared by two threads, and all times grow by what this one shows.
+    `reference_us` is the processor time of a fixed loop of additions, measured between the repeats: on a
+    shared machine two threads share a core, which slows all measured times by the same factor.
     """
 
     role: str
@@ -100,12 +100,12 @@
     intercept: float
 
     def at(self, size: float) -> float:
-        """The line's value."""
+        """Return the line's value at a size."""
         return self.intercept + self.slope * size
 
 
 def measure(role: Role, parameters: Parameters, repeats: int = REPEATS) -> SlopePoint:
-    """All repeats of one size; what the subject opened is closed, also after an error."""
+    """Run all repeats of one size; the subject is closed, also after an error."""
     subject = role.make(parameters)
     try:
         samples, references = [], []
@@ -119,7 +119,7 @@
 
 
 def reference_us() -> float:
-    """Processor time of a fixed loop."""
+    """Return the processor time of a fixed loop."""
     total = 0
     began = thread_time_ns()
     for number in range(REFERENCE_ADDITIONS):
@@ -130,7 +130,7 @@
 def make_point(
     role: Role, parameters: Parameters, samples: Sequence[Sample], state_bytes: int, reference: float
 ) -> SlopePoint:
-    """The repeats of one size as one point."""
+    """Combine the repeats of one size into one point."""
     times = [sample.cpu_us for sample in samples]
     names = dict.fromkeys(name for sample in samples for name in sample.details)
     details = {
@@ -155,12 +155,12 @@
 
 
 def rounded_median(values: Sequence[float]) -> float:
-    """The median, to three places."""
+    """Return the median, rounded to three decimals."""
     return round(statistics.median(values), 3)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """The least-squares line through the points; a flat one through a single size."""
+    """Fit a least-squares line; for a single size, return a flat line at the mean."""
     if len(set(sizes)) < 2:
         return Line(0.0, statistics.fmean(values))
     regression = statistics.linear_regression(sizes, values)
@@ -168,10 +168,10 @@
 
 
 def count_operations(action: Callable[[], object]) -> int:
-    """Instructions of the interpreter that the action runs, in all of its Python frames.
+    """Count the interpreter instructions that the action executes, in all of its Python frames.
 
-    The same for the same work, however busy the machine is. A loop inside a built-in function (`sorted`,
-    `sum` over a map of built-ins) counts as one call.
+    The count is deterministic and independent of the machine's load. A loop inside a built-in function
+    (`sorted`, `sum` over a map of built-ins) counts as one call.
     """
     count = 0
 
@@ -192,7 +192,7 @@
 
 
 def deep_bytes(*roots: object) -> int:
-    """Memory of these objects and of all that they refer to, classes, modules and functions aside."""
+    """Return the memory of objects and everything they reference, except classes, modules and functions."""
     seen: set[int] = set()
     total = 0
     pending = [*roots]
--- a/lupintack/scale/slope_chart.py
+++ b/lupintack/scale/slope_chart.py
@@ -1,4 +1,4 @@
-"""Charts of slopes by matplotlib (extra `lab`), with all figures beside them as CSV."""
+"""Charts of slopes by matplotlib (extra `lab`), with all results in a CSV file."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def require_matplotlib() -> None:
-    """SlopeError where matplotlib is not installed."""
+    """Raise SlopeError if matplotlib is not installed."""
     if importlib.util.find_spec("matplotlib") is None:
         raise SlopeError("--plot: matplotlib is missing; install the extra: pip install 'lupintack[lab]'")
 
 
 def draw(path: Path, role: Role, points: Sequence[SlopePoint]) -> None:
-    """The chart of one role, and its CSV file beside it."""
+    """Write the chart of one role, and a CSV file of the same name."""
     from lupintack.lab.charts import create_figure
 
     sizes = [point.size for point in points]
@@ -36,13 +36,13 @@
             [point.cpu_us - point.cpu_us_min for point in points],
             [point.cpu_us_max - point.cpu_us for point in points],
         ],
-        marker="o", capsize=3, linewidth=1.3, label="median, least to most",
+        marker="o", capsize=3, linewidth=1.3, label="median, minimum to maximum",
     )  # fmt: skip
     axes.plot(
         sizes, [line.at(size) for size in sizes], linewidth=0.8, linestyle="--",
-        label=f"{line.intercept:.4g} + {line.slope:.4g} a unit of size",
+        label=f"{line.intercept:.4g} + {line.slope:.4g} per unit of size",
     )  # fmt: skip
-    axes.set_xlabel(role.size_is)
+    axes.set_xlabel(role.size_label)
     axes.set_ylabel(f"processor time, us ({role.per})")
     axes.set_title(caption(role, points), fontsize=9)
     axes.legend()
@@ -53,13 +53,13 @@
 
 
 def caption(role: Role, points: Sequence[SlopePoint]) -> str:
-    """What was measured, with seed and commit."""
+    """Return the title of a chart, with repeats, seed and commit."""
     first = points[0]
-    return f"{role.name}: {first.repeats} repeats a size, seed {first.seed}, commit {commit()}"
+    return f"{role.name}: {first.repeats} repeats per size, seed {first.seed}, commit {commit()}"
 
 
 def commit() -> str:
-    """The commit that the code was read from; `unknown` outside a repository."""
+    """Return the commit of the source tree; `unknown` outside a repository."""
     result = subprocess.run(
         ["git", "describe", "--always", "--dirty"],
         cwd=Path(__file__).parent, capture_output=True, text=True, check=False,
@@ -68,7 +68,7 @@
 
 
 def write_csv(path: Path, points: Sequence[SlopePoint]) -> None:
-    """All figures, the details in columns of their own."""
+    """Write all results, with a column for each detail."""
     names = list(dict.fromkeys(name for point in points for name in point.details))
     with path.open("w", newline="") as file:
         writer = csv.writer(file)
--- a/lupintack/scale/watchers.py
+++ b/lupintack/scale/watchers.py
@@ -1,6 +1,6 @@
-"""Many watchers of one discovery service in a process of their own: they read lines and note when they come.
+"""Many watchers of one discovery service in a separate process, which record when lines arrive.
 
-The process ends when the pipe to the one that started it closes, however that one ended.
+The process ends when the pipe to its parent closes, however the parent ended.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Arrivals(NamedTuple):
-    """One event at all watchers: monotonic microseconds of the first and the last, and who lacked it."""
+    """Arrival of one event: monotonic microseconds at the first and last watcher, and missing watchers."""
 
     first_us: int
     last_us: int
@@ -30,34 +30,34 @@
 
 
 class Connect(NamedTuple):
-    """What the process is told: where to connect, how often."""
+    """Command: open this number of connections to an address."""
 
     address: tuple[str, int]
     connections: int
 
 
 class AwaitText(NamedTuple):
-    """Wait until each watcher has had a line with this text."""
+    """Command: wait until each watcher has received this text."""
 
     text: bytes
 
 
 class MeasureIdle(NamedTuple):
-    """Read for so long, and say how many bytes came to each watcher."""
+    """Command: read for some seconds, and return the bytes per watcher and second."""
 
     seconds: float
 
 
 @dataclass(slots=True)
 class Watchers:
-    """The sockets and what came on them."""
+    """The watchers' sockets and the number of received bytes."""
 
     selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
     count: int = 0
     received_bytes: int = 0
 
     def connect(self, request: Connect) -> None:
-        """Open all connections, and ask for what comes from now on."""
+        """Open all connections, and watch from revision 1."""
         for number in range(request.connections):
             sock = socket.create_connection(request.address, timeout=CONNECT_TIMEOUT_S)
             sock.sendall(b"watch 1\n")
@@ -66,7 +66,7 @@
         self.count = request.connections
 
     def read(self, on_data: Callable[[int, bytes], None], timeout: float) -> None:
-        """Whatever has come."""
+        """Read all sockets with data, and call `on_data` for each."""
         for key, _ in self.selector.select(timeout):
             sock = key.fileobj
             assert isinstance(sock, socket.socket)
@@ -81,7 +81,7 @@
             on_data(key.data, data)
 
     def await_text(self, text: bytes, pipe: Connection) -> Arrivals:
-        """When the first and the last watcher had it."""
+        """Wait until all watchers have received the text; return the times of the first and the last."""
         received: set[int] = set()
         first = last = 0
         before = self.received_bytes
@@ -99,7 +99,7 @@
         return Arrivals(first, last, self.count - len(received), (self.received_bytes - before) / self.count)
 
     def idle(self, seconds: float) -> float:
-        """Bytes a watcher and second while nothing is asked of them."""
+        """Return the bytes per watcher and second while the service is idle."""
         before, began = self.received_bytes, time.monotonic()
         while (spent := time.monotonic() - began) < seconds:
             self.read(lambda number, data: None, POLL_S)
@@ -107,7 +107,7 @@
 
 
 def run_watchers(pipe: Connection) -> None:
-    """The process: one request after another, until the pipe closes."""
+    """Execute commands until the pipe closes."""
     watchers = Watchers()
     try:
         while True:
@@ -127,10 +127,10 @@
 
 
 class WatcherProcess:
-    """The process as its starter has it."""
+    """Handle of the watchers' process in its parent."""
 
     def __init__(self, address: tuple[str, int], count: int) -> None:
-        """`count` connections to one discovery process."""
+        """Start the process with `count` connections to one discovery service."""
         context = multiprocessing.get_context("spawn")
         self.pipe, child_pipe = context.Pipe()
         self.process = context.Process(target=run_watchers, args=(child_pipe,), name="watchers", daemon=True)
@@ -140,22 +140,22 @@
         self.pipe.recv()
 
     def start_waiting(self, text: bytes) -> None:
-        """From now on the next event is waited for."""
+        """Start waiting for the event with this text."""
         self.pipe.send(AwaitText(text))
 
     def arrivals(self) -> Arrivals:
-        """Once all have had it, or the time for it is over."""
+        """Return the arrivals when all watchers have the event, or at the timeout."""
         arrivals = self.pipe.recv()
         assert isinstance(arrivals, Arrivals)
         return arrivals
 
     def idle(self, seconds: float) -> float:
-        """Bytes a watcher and second."""
+        """Return the bytes per watcher and second over some seconds."""
         self.pipe.send(MeasureIdle(seconds))
         return float(self.pipe.recv())
 
     def close(self) -> None:
-        """End it."""
+        """End the process."""
         self.pipe.close()
         self.process.join(5.0)
         if self.process.is_alive():
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -198,7 +198,7 @@
             (("purge", "--sizes", "3,x"), "not 'x'"),
             (("purge", "--sizes", ""), "not ''"),
             (("membership", "--sizes", "9000000"), "MiB are needed"),
-            (("cut", "--sizes", "40,3"), "4 at the least"),
+            (("cut", "--sizes", "40,3"), "must be at least 4 for cut"),
             (("discovery", "--sizes", "3", "--plot", "/no/such/folder/a.png"), "--plot: no folder"),
         ],
     )
