--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""`lupintack scale run`: a small run, what can't be started, interruptions, and how figures are made."""
+"""`lupintack scale run`: small runs, rejected options and scripts, interruptions, and result computation."""
 
 from __future__ import annotations
 
@@ -42,63 +42,67 @@
 from lupintack.standins.discovery_server import DiscoveryServer
 
 ROOT = Path(__file__).parents[1]
-SMALL = FleetSize(12, 2, 3, 4)
-PLENTY = Machine(cores=8, memory_bytes=24 << 30, descriptors=20_000)
+SMALL_SIZE = FleetSize(12, 2, 3, 4)
+LARGE_MACHINE = Machine(cores=8, memory_bytes=24 << 30, descriptors=20_000)
 PATIENCE_S = 90.0
-ONE_AT_A_TIME = pytest.mark.xdist_group("scale run")  # each wants a core: two would slow one another down
-PROMISED = {
+SERIAL = pytest.mark.xdist_group("scale run")  # each needs a core: concurrent runs would slow each other down
+REQUIRED_FIELDS = {
     "routers", "hollow", "processes", "cpu_share_p50", "cpu_share_max", "bytes_per_s_p50", "bytes_per_s_max",
     "rss_mb", "purge_p50_s", "purge_p99_s", "purge_max_s", "change_p99_s", "detect_p50_s", "detect_max_s",
     "false_removals", "oversum", "behind",
 }  # fmt: skip
 
 
-def command(*more: str) -> list[str]:
-    """The command line of a run."""
+def run_command_line(*more: str) -> list[str]:
+    """Return the command line of a run."""
     return [sys.executable, "-m", "lupintack.cli.main", "scale", "run", *more]
 
 
-def until(what: object, text: str) -> None:
-    """Wait until a call holds; the bound is only for what never comes."""
-    assert callable(what)
-    end = time.monotonic() + PATIENCE_S
-    while not what():
-        assert time.monotonic() < end, text
+def wait_until(condition: object, text: str) -> None:
+    """Wait until `condition` returns true; fail after PATIENCE_S."""
+    assert callable(condition)
+    deadline = time.monotonic() + PATIENCE_S
+    while not condition():
+        assert time.monotonic() < deadline, text
         time.sleep(0.05)
 
 
 # Runs
 
 
-@ONE_AT_A_TIME
+@SERIAL
 @pytest.mark.parametrize("levels", [1, 2])
-def test_sixty_hollow_routers_join_share_budgets_and_hear_of_purges_and_changes(levels: int) -> None:
-    words = ["--routers", "60", "--regions", "3", "--zones", "6", "--sites", "12", "--seconds", "4"]
-    words += ["--seed", "5", "--processes", "3", "--site-budgets", "--changes-per-day", "172800", "--json"]
-    words += ["--two-levels"] * (levels == 2)
-    done = subprocess.run(command(*words), cwd=ROOT, capture_output=True, text=True, timeout=300)
-    assert done.returncode == 0, done.stderr
-    (line,) = done.stdout.splitlines()
-    found = json.loads(line)
-    assert found.keys() >= PROMISED
-    assert (found["routers"], found["hollow"], found["budgets"]) == (60, 60, 14)
-    assert found["levels"] == levels
-    assert found["processes"] == 3 + 1 + 1
-    assert found["settled"] and found["oversum"] == 0 and found["faults"] == 0
+def test_sixty_hollow_routers_join_and_receive_leases_purges_and_changes(levels: int) -> None:
+    options = ["--routers", "60", "--regions", "3", "--zones", "6", "--sites", "12", "--seconds", "4"]
+    options += ["--seed", "5", "--processes", "3", "--site-budgets", "--changes-per-day", "172800", "--json"]
+    options += ["--two-levels"] * (levels == 2)
+    process = subprocess.run(
+        run_command_line(*options), cwd=ROOT, capture_output=True, text=True, timeout=300
+    )
+    assert process.returncode == 0, process.stderr
+    (line,) = process.stdout.splitlines()
+    result = json.loads(line)
+    assert result.keys() >= REQUIRED_FIELDS
+    assert (result["routers"], result["hollow"], result["budgets"]) == (60, 60, 14)
+    assert result["levels"] == levels
+    assert result["processes"] == 3 + 1 + 1
+    assert result["settled"] and result["oversum"] == 0 and result["faults"] == 0
     roles = {"router", "voter", "allocator", "discovery"} | ({"region_allocator"} if levels == 2 else set())
-    assert set(found["cpu_share_p50"]) <= roles
-    # An allocator that stands still for longer than its votes last is none, and no other is at once.
-    assert set(found["cpu_share_p50"]) == roles or found["overloaded"]
-    assert found["purges"] > 0 and found["changes"] > 0 and found["bytes_per_s_p50"] > 0
-    assert found["overloaded"] == (found["behind"] > 0)
-    parts = found["bytes_per_s_parts_p50"]
+    assert set(result["cpu_share_p50"]) <= roles
+    # An allocator that stalls for longer than its votes last loses its role; an election takes time.
+    assert set(result["cpu_share_p50"]) == roles or result["overloaded"]
+    assert result["purges"] > 0 and result["changes"] > 0 and result["bytes_per_s_p50"] > 0
+    assert result["overloaded"] == (result["behind"] > 0)
+    parts = result["bytes_per_s_parts_p50"]
     assert all(parts[name] > 0 for name in ("membership", "budgets", "discovery"))
 
 
 @pytest.fixture
 def run() -> Iterator[Coordinator]:
-    """A small run that has settled and is being measured."""
-    options = Options(SMALL, resources.plan_processes(SMALL, 2, 0, PLENTY), 600.0, 7, Script())
+    """A small run that has settled and whose measurement has started."""
+    options = Options(
+        SMALL_SIZE, resources.plan_processes(SMALL_SIZE, 2, 0, LARGE_MACHINE), 600.0, 7, Script()
+    )
     coordinator = Coordinator(options)
     try:
         coordinator.start_processes()
@@ -110,84 +114,84 @@
         coordinator.close()
 
 
-@ONE_AT_A_TIME
-def test_a_kill_of_the_script_is_detected_by_all_others_and_explains_what_they_tell(run: Coordinator) -> None:
+@SERIAL
+def test_scripted_kill_is_detected_by_all_others_and_explains_removals(run: Coordinator) -> None:
     run.inject_fault(Fault(at_s=0.0, kind=FaultKind.KILL, who=("router:h0007", "allocator")))
     run.wait(lambda: len(run.history.downtimes) == 2, PATIENCE_S, "both kills")
-    killed = {one.name for one in run.history.downtimes}
-    run.wait(lambda: run.removals >= 20, PATIENCE_S, "ten routers to tell of two kills")
+    killed = {downtime.name for downtime in run.history.downtimes}
+    run.wait(lambda: run.removals >= 20, PATIENCE_S, "ten routers to report two removals")
     run.wait(lambda: bool(set(run.allocators) - killed), PATIENCE_S, "another allocator")
     run.finish()
-    reports = [one for process in run.finished for one in process.routers]
-    assert {one.name for one in reports if one.allocator} - killed
-    removals = [one for process in run.finished for one in process.removals]
-    names = [one.name for process in run.finished for one in process.routers]
+    reports = [router for process in run.finished for router in process.routers]
+    assert {router.name for router in reports if router.allocator} - killed
+    removals = [removal for process in run.finished for removal in process.removals]
+    names = [router.name for process in run.finished for router in process.routers]
     assert len(names) == 12
     detection = report.detections(run.history, removals, names)
     assert len(detection.delays_us) == 20 and min(detection.delays_us) > 0
-    leases = [one for process in run.finished for router in process.routers for one in router.leases]
+    leases = [lease for process in run.finished for router in process.routers for lease in router.leases]
     assert leases and report.largest_excess(leases, run.budgets) == 0
 
 
-@ONE_AT_A_TIME
-def test_a_site_that_is_cut_off_is_removed_and_comes_back(run: Coordinator) -> None:
+@SERIAL
+def test_cut_off_site_is_removed_and_rejoins_after_heal(run: Coordinator) -> None:
     run.inject_fault(Fault(at_s=0.0, kind=FaultKind.CUT, who=("site:s001",), for_s=0.0))
     cut = run.history.cuts[0]
-    assert cut.names == {one.name for one in run.routers if one.site == "s001"}
-    run.wait(lambda: run.removals >= 9 * 3, PATIENCE_S, "nine routers to tell of three")
+    assert cut.names == {router.name for router in run.routers if router.site == "s001"}
+    run.wait(lambda: run.removals >= 9 * 3, PATIENCE_S, "nine routers to report three removals")
     for child in run.hollow:
-        child.send(messages.Heal(1_000_000))  # of another cut: nothing changes
+        child.send(messages.Heal(1_000_000))  # unknown cut: no effect
         child.send(messages.Heal(run.cut_ids[0]))
     cut.until_us = now_us()
-    run.wait(run.has_converged, PATIENCE_S, "all to agree again")
+    run.wait(run.has_converged, PATIENCE_S, "the routers to converge again")
     run.finish()
-    removals = [one for process in run.finished for one in process.removals]
+    removals = [removal for process in run.finished for removal in process.removals]
     assert not [name for name in report.false_removals(run.history, removals) if name in cut.names]
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_an_interrupted_run_leaves_no_process_behind(number: signal.Signals, tmp_path: Path) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_interrupted_run_leaves_no_processes(signal_number: signal.Signals, tmp_path: Path) -> None:
     process = subprocess.Popen(
-        command("--routers", "8", "--processes", "2", "--seconds", "600"), cwd=ROOT,
+        run_command_line("--routers", "8", "--processes", "2", "--seconds", "600"), cwd=ROOT,
         stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, env=os.environ | {"TMPDIR": str(tmp_path)},
     )  # fmt: skip
-    until(lambda: len(children_of(process.pid)) == 3, "three processes run")
+    wait_until(lambda: len(children_of(process.pid)) == 3, "three processes to run")
     children = children_of(process.pid)
-    process.send_signal(number)
+    process.send_signal(signal_number)
     assert process.wait(PATIENCE_S) != 0
     assert process.stdout is not None and process.stdout.read() == b""
-    until(lambda: not any(running(pid) for pid in children), f"of {children} some run on")
-    assert number is signal.SIGKILL or not list(tmp_path.iterdir())
+    wait_until(lambda: not any(is_running(pid) for pid in children), f"processes of {children} still run")
+    assert signal_number is signal.SIGKILL or not list(tmp_path.iterdir())
 
 
-def running(pid: int) -> bool:
-    """Whether there is such a process that is no zombie."""
+def is_running(pid: int) -> bool:
+    """Return whether the process exists and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-# What can't be started
+# Rejected runs
 
 
 @pytest.fixture
-def nothing_starts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever is started fails the test."""
+def forbid_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make every start of a run fail."""
     monkeypatch.setattr("lupintack.scale.coordinator.Coordinator", None)
 
 
-def refused(words: list[str], wrong: str) -> None:
-    """One line that says this, and code 2."""
-    found = CliRunner().invoke(main, ["scale", "run", *words])
-    assert found.exit_code == 2, found.output
-    (line,) = found.output.splitlines()
-    assert wrong in line
+def assert_rejected(options: list[str], expected_error: str) -> None:
+    """Assert that the command exits with code 2 and a one-line error that contains the text."""
+    result = CliRunner().invoke(main, ["scale", "run", *options])
+    assert result.exit_code == 2, result.output
+    (line,) = result.output.splitlines()
+    assert expected_error in line
 
 
-@pytest.mark.usefixtures("nothing_starts")
+@pytest.mark.usefixtures("forbid_start")
 @pytest.mark.parametrize(
-    ("words", "wrong"),
+    ("options", "expected_error"),
     [
         (["--routers", "0"], "regions <= zones <= sites <= routers"),
         (["--routers", "10", "--regions", "3", "--zones", "2", "--sites", "5"], "not 3, 2, 5, 10"),
@@ -205,13 +209,13 @@
         (["--routers", "2000", "--processes", "200"], "processes: 205 would run"),
     ],
 )
-def test_words_that_can_t_be_used_are_refused_before_anything_starts(words: list[str], wrong: str) -> None:
-    refused(words, wrong)
+def test_invalid_options_are_rejected_before_processes_start(options: list[str], expected_error: str) -> None:
+    assert_rejected(options, expected_error)
 
 
-@pytest.mark.usefixtures("nothing_starts")
+@pytest.mark.usefixtures("forbid_start")
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "expected_error"),
     [
         ("[[fault", "script.toml"),
         ("[[faults]]\nat_s = 1", "faults"),
@@ -225,25 +229,25 @@
         ("[[fault]]\nat_s = 9\nkind = 'kill'\nwho = ['all']", "not before the end"),
     ],
 )
-def test_a_script_that_can_t_be_used_is_refused(tmp_path: Path, text: str, wrong: str) -> None:
+def test_invalid_script_is_rejected(tmp_path: Path, text: str, expected_error: str) -> None:
     file = tmp_path / "script.toml"
     file.write_text(text)
-    refused(["--routers", "9", "--seconds", "9", "--script", str(file)], wrong)
+    assert_rejected(["--routers", "9", "--seconds", "9", "--script", str(file)], expected_error)
 
 
-@pytest.mark.usefixtures("nothing_starts")
+@pytest.mark.usefixtures("forbid_start")
 @pytest.mark.parametrize(
-    ("machine", "wrong"),
+    ("machine", "expected_error"),
     [(Machine(8, 24 << 30, 100), "descriptors"), (Machine(8, 1 << 30, 20_000), "memory")],
 )
-def test_a_machine_that_has_too_little_is_named(
-    monkeypatch: pytest.MonkeyPatch, machine: Machine, wrong: str
+def test_insufficient_machine_resource_is_reported(
+    monkeypatch: pytest.MonkeyPatch, machine: Machine, expected_error: str
 ) -> None:
     monkeypatch.setattr(Machine, "here", staticmethod(lambda: machine))
-    refused(["--routers", "1000"], wrong)
+    assert_rejected(["--routers", "1000"], expected_error)
 
 
-def test_memory_is_bounded_by_half_of_the_machine_and_ten_gib() -> None:
+def test_memory_limit_is_ten_gib_and_half_of_machine_memory() -> None:
     size = FleetSize(3000, 27, 78, 140)
     large = Machine(64, 1 << 40, 1 << 20)
     processes = resources.plan_processes(size, 16, 0, large)
@@ -254,50 +258,50 @@
         resources.check(size, processes, Machine(64, 2 * needed - 2, 1 << 20))
 
 
-# The script and the plan
+# Script and plan
 
 
-def test_routers_are_dealt_out_over_all_groups() -> None:
+def test_routers_are_distributed_over_all_groups() -> None:
     size = FleetSize(3000, 27, 78, 140)
     routers = plan_routers(size, range(3000))
     for attribute, count in (("name", 3000), ("region", 27), ("zone", 78), ("site", 140)):
-        assert len({getattr(one, attribute) for one in routers}) == count
-    assert len({(one.zone, one.region) for one in routers}) == 78
-    assert len({(one.site, one.zone) for one in routers}) == 140
-    assert len({one.region for one in plan_voters(routers)}) == 5
+        assert len({getattr(router, attribute) for router in routers}) == count
+    assert len({(router.zone, router.region) for router in routers}) == 78
+    assert len({(router.site, router.zone) for router in routers}) == 140
+    assert len({router.region for router in plan_voters(routers)}) == 5
     assert len(plan_budgets(routers, True)) == 142
 
 
-def test_a_fault_names_routers_by_group_role_and_count(tmp_path: Path) -> None:
-    routers = plan_routers(SMALL, range(12))
+def test_fault_selects_routers_by_group_role_and_count(tmp_path: Path) -> None:
+    routers = plan_routers(SMALL_SIZE, range(12))
     file = tmp_path / "script.toml"
     file.write_text("[[fault]]\nat_s = 1\nkind = 'pause'\nwho = ['any:2', 'allocator']\nfor_s = 2\n")
     (fault,) = read_script(file, routers, 9.0).fault
     assert (fault.kind, fault.for_s, fault.who) == (FaultKind.PAUSE, 2.0, ("any:2", "allocator"))
 
-    def chosen(*who: str) -> tuple[str, ...]:
+    def selected(*who: str) -> tuple[str, ...]:
         return select(who, routers, ["h0000", "h0001"], ["h0005"], Random(1))
 
-    assert chosen("site:s003") == ("h0003", "h0007", "h0011")
-    assert chosen("region:r01", "allocator") == tuple(
+    assert selected("site:s003") == ("h0003", "h0007", "h0011")
+    assert selected("region:r01", "allocator") == tuple(
         n.name for n in routers if n.region == "r01" or n.name == "h0005"
     )
-    assert chosen("voters") == ("h0000", "h0001") and len(chosen("voter")) == 1
-    assert len(chosen("any:7")) == 7 and len(chosen("all", "any:3")) == 12
+    assert selected("voters") == ("h0000", "h0001") and len(selected("voter")) == 1
+    assert len(selected("any:7")) == 7 and len(selected("all", "any:3")) == 12
 
 
-def test_demand_moves_and_is_of_the_own_site_alone() -> None:
+def test_demand_changes_and_is_zero_for_other_sites() -> None:
     budgets = (BudgetPlan("a", 120), BudgetPlan("cold-caches.x", 6, "x"), BudgetPlan("cold-caches.y", 6, "y"))
     demand = Demand(budgets, 12, "x", Random(3))
-    drawn = [demand.draw(second * 1_000_000) for second in range(60)]
-    assert len(set(drawn)) > 3 and all(one[2] == 0 for one in drawn) and any(one[1] for one in drawn)
-    assert demand.draw(59_000_000) == drawn[-1]
+    demands = [demand.draw(second * 1_000_000) for second in range(60)]
+    assert len(set(demands)) > 3 and all(d[2] == 0 for d in demands) and any(d[1] for d in demands)
+    assert demand.draw(59_000_000) == demands[-1]
 
 
-# What passes
+# Network and frames
 
 
-def test_a_cut_holds_in_both_directions_until_it_heals() -> None:
+def test_cut_blocks_both_directions_until_healed() -> None:
     network = Network({"a": 1, "b": 2, "c": 3})
     network.cut(1, ["a"], discovery=True)
     network.cut(2, ["c"], discovery=False)
@@ -308,17 +312,17 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=8), st.integers(1, 7))
-def test_frames_come_out_as_they_went_in_however_they_are_cut(events: list[bytes], step: int) -> None:
-    raw = b"".join(messages.encode_frame(messages.Publish(one)) for one in events)
-    frames = messages.FrameBuffer()
-    found = [one for at in range(0, len(raw), step) for one in frames.feed(raw[at : at + step])]
-    assert [messages.command_decoder.decode(one) for one in found] == [
-        messages.Publish(one) for one in events
+def test_frames_round_trip_for_any_read_size(events: list[bytes], step: int) -> None:
+    raw = b"".join(messages.encode_frame(messages.Publish(raw_frame)) for raw_frame in events)
+    buffer = messages.FrameBuffer()
+    frames = [raw_frame for at in range(0, len(raw), step) for raw_frame in buffer.feed(raw[at : at + step])]
+    assert [messages.command_decoder.decode(raw_frame) for raw_frame in frames] == [
+        messages.Publish(raw_frame) for raw_frame in events
     ]
 
 
-class Watched:
-    """A discovery connection, driven by a selector as a process of hollow routers does."""
+class DiscoveryWatcher:
+    """A discovery connection run by a selector, as in a process of hollow routers."""
 
     def __init__(self, address: str) -> None:
         import selectors
@@ -335,89 +339,91 @@
     def ready(self) -> None:
         self.connection.on_readable()
 
-    def turn(self) -> bool:
+    def step(self) -> bool:
         for key, _ in self.selector.select(0.02):
             key.data()
         self.connection.on_wake(now_us())
         return False
 
-    def purges(self, count: int) -> None:
-        until(
-            lambda: self.turn() or sum(one.purge is not None for one in self.changes) >= count,
+    def await_purges(self, count: int) -> None:
+        wait_until(
+            lambda: self.step() or sum(change.purge is not None for change in self.changes) >= count,
             f"{count} purges",
         )
 
 
-def test_discovery_is_followed_across_a_cut_and_each_purge_heard_once() -> None:
-    board = DiscoveryServer()
-    watched = Watched(board.address)
+def test_discovery_reconnects_after_cut_and_delivers_each_purge_once() -> None:
+    server = DiscoveryServer()
+    watcher = DiscoveryWatcher(server.address)
     try:
-        board.purge("aa")
-        watched.purges(1)
-        watched.reachable = False
+        server.purge("aa")
+        watcher.await_purges(1)
+        watcher.reachable = False
         for number in range(20):
-            board.purge(f"{number:x}")
-        until(lambda: watched.turn() or watched.connection.lines is None, "the silence to be noticed")
-        watched.turn()
-        assert len(watched.changes) == 1
-        watched.reachable = True
-        watched.connection.on_reachability_change()
-        watched.purges(21)
-        board.purge("bb")
-        watched.purges(22)
-        assert len(watched.changes) == 22 and watched.connection.client.last_revision == board.rev
+            server.purge(f"{number:x}")
+        wait_until(lambda: watcher.step() or watcher.connection.lines is None, "the silence timeout")
+        watcher.step()
+        assert len(watcher.changes) == 1
+        watcher.reachable = True
+        watcher.connection.on_reachability_change()
+        watcher.await_purges(21)
+        server.purge("bb")
+        watcher.await_purges(22)
+        assert len(watcher.changes) == 22 and watcher.connection.client.last_revision == server.rev
     finally:
-        watched.connection.close()
-        board.close()
+        watcher.connection.close()
+        server.close()
 
 
 @given(st.lists(st.tuples(st.integers(0, 20), st.booleans()), max_size=60))
-def test_shared_tables_answer_as_a_router_s_own(steps: list[tuple[int, bool]]) -> None:
+def test_shared_tables_equal_unshared_tables(steps: list[tuple[int, bool]]) -> None:
     from lupintack.membership.observers import ObserverRings
     from lupintack.membership.view import Record, State, View
 
     own, shared = (View(64, 10), ObserverRings(6)), (SharedView(64, 10), SharedRings(6))
-    for at, (number, comes) in enumerate(steps):
-        state = State.ALIVE if comes else State.ENDED
-        one = Record(f"n{number}", 1, at, state, "s", "a:1")
+    for step, (number, is_added) in enumerate(steps):
+        state = State.ALIVE if is_added else State.ENDED
+        record = Record(f"n{number}", 1, step, state, "s", "a:1")
         for view, rings in (own, shared):
-            view.merge(one, at)
-            (rings.add if comes else rings.remove)(one.name)
+            view.merge(record, step)
+            (rings.add if is_added else rings.remove)(record.name)
     assert own[0].records == shared[0].records and own[0].id == shared[0].id
     assert own[1].rings == shared[1].rings and own[1].names == shared[1].names
 
 
-# Figures
+# Results
 
 
-def held(from_us: int, until_us: int, *amounts: int) -> messages.LeaseStatus:
-    return messages.LeaseStatus(from_us, until_us, tuple((n, one) for n, one in enumerate(amounts) if one))
+def lease(from_us: int, until_us: int, *amounts: int) -> messages.LeaseStatus:
+    return messages.LeaseStatus(
+        from_us, until_us, tuple((n, units) for n, units in enumerate(amounts) if units)
+    )
 
 
-def test_an_excess_is_found_at_its_worst_instant_and_of_each_budget_alone() -> None:
+def test_largest_excess_is_computed_per_budget_at_worst_instant() -> None:
     budgets = (BudgetPlan("a", 10), BudgetPlan("b", 2))
-    assert report.largest_excess([held(0, 5, 10), held(5, 9, 10, 2)], budgets) == 0
-    assert report.largest_excess([held(0, 6, 10), held(5, 9, 3)], budgets) == 3
-    assert report.largest_excess([held(0, 6, 10, 1), held(1, 2, 0, 2), held(3, 3, 9, 9)], budgets) == 1
+    assert report.largest_excess([lease(0, 5, 10), lease(5, 9, 10, 2)], budgets) == 0
+    assert report.largest_excess([lease(0, 6, 10), lease(5, 9, 3)], budgets) == 3
+    assert report.largest_excess([lease(0, 6, 10, 1), lease(1, 2, 0, 2), lease(3, 3, 9, 9)], budgets) == 1
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 9), st.integers(0, 9), st.integers(1, 5)), max_size=12),
     st.integers(0, 9),
 )
-def test_the_excess_is_that_of_looking_at_every_instant(
-    leases: list[tuple[int, int, int]], whole: int
+def test_largest_excess_equals_maximum_over_all_instants(
+    leases: list[tuple[int, int, int]], total: int
 ) -> None:
     sums = [sum(units for start, end, units in leases if start <= at < end) for at in range(10)]
-    found = report.largest_excess([held(*one) for one in leases], (BudgetPlan("a", whole),))
-    assert found == max(0, *(one - whole for one in sums))
+    excess = report.largest_excess([lease(*values) for values in leases], (BudgetPlan("a", total),))
+    assert excess == max(0, *(held - total for held in sums))
 
 
 def removal(at_s: float, observer: str, *names: str) -> messages.Removal:
     return messages.Removal(round(at_s * 1e6), observer, names)
 
 
-def test_a_removal_is_false_unless_a_fault_explains_it() -> None:
+def test_removal_is_false_unless_explained_by_fault() -> None:
     history = History(ended_us=300_000_000)
     history.downtimes += [
         Downtime("killed", DowntimeKind.KILLED, 10_000_000, 20_000_000),
@@ -430,34 +436,34 @@
         removal(107, "x", "c"), removal(107, "c", "x"),
     ]  # fmt: skip
     assert report.false_removals(history, explained) == {}
-    wrong = [
+    unexplained = [
         removal(9, "x", "killed"), removal(50, "x", "killed"), removal(14, "x", "short"),
         removal(12, "x", "long"), removal(107, "c", "d"), removal(99, "x", "c"), removal(5, "x", "y"),
     ]  # fmt: skip
-    assert len([one for one in wrong if report.false_removals(history, [one])]) == len(wrong)
+    assert len([r for r in unexplained if report.false_removals(history, [r])]) == len(unexplained)
 
 
-def test_detection_is_counted_at_each_other_router_and_a_quick_return_is_none() -> None:
+def test_detection_is_counted_per_observer_and_not_missed_after_quick_restart() -> None:
     history = History(ended_us=100_000_000)
     history.downtimes += [
         Downtime("a", DowntimeKind.KILLED, 10_000_000),
         Downtime("b", DowntimeKind.KILLED, 10_000_000, 10_500_000),
         Downtime("c", DowntimeKind.KILLED, 90_000_000),
     ]
-    told = [removal(12, "x", "a"), removal(13, "y", "a"), removal(5, "z", "a"), removal(14, "b", "a")]
-    found = report.detections(history, told, ["a", "b", "c", "x", "y", "z"])
-    assert sorted(found.delays_us) == [2_000_000, 3_000_000]
-    assert found.missed == 1  # z; too little time was left for c
+    removals = [removal(12, "x", "a"), removal(13, "y", "a"), removal(5, "z", "a"), removal(14, "b", "a")]
+    detection = report.detections(history, removals, ["a", "b", "c", "x", "y", "z"])
+    assert sorted(detection.delays_us) == [2_000_000, 3_000_000]
+    assert detection.missed == 1  # by z; c was killed too close to the end
 
 
 @given(st.lists(st.integers(0, 50), min_size=1), st.sampled_from([0.01, 0.5, 0.99, 1.0]))
-def test_percentiles_of_counts_and_of_values_are_the_same(values: list[int], part: float) -> None:
-    counts = {one: values.count(one) for one in values}
-    assert report.count_percentile(counts, part) == report.percentile(values, part)
-    assert report.percentile([], part) is None and report.count_percentile({}, part) is None
+def test_count_percentile_equals_percentile_of_values(values: list[int], fraction: float) -> None:
+    counts = {value: values.count(value) for value in values}
+    assert report.count_percentile(counts, fraction) == report.percentile(values, fraction)
+    assert report.percentile([], fraction) is None and report.count_percentile({}, fraction) is None
 
 
-def test_a_router_that_missed_its_ticks_makes_the_run_overloaded() -> None:
+def test_delayed_router_marks_run_as_overloaded() -> None:
     usage = messages.Usage(1_000_000, 500, 500)
     routers = tuple(
         messages.RouterReport(
@@ -475,9 +481,9 @@
         )
         for name, max_tick_delay_us in (("v", 0), ("w", 10), ("x", 500_000), ("y", 500_001))
     )
-    done = messages.Finished(routers, (), {3: 2, 9: 1}, {}, 0, 0, 0, 0)
+    finished = messages.Finished(routers, (), {3: 2, 9: 1}, {}, 0, 0, 0, 0)
     history = History(0, 1_000_000, settled=True)
-    line = report.result_line(FleetSize(4, 1, 1, 1), 3, 0, 2, (), history, [done])
+    line = report.result_line(FleetSize(4, 1, 1, 1), 3, 0, 2, (), history, [finished])
     assert (line["behind"], line["overloaded"]) == (1, True)
     assert line["cpu_share_p50"] == {
         "router": 0.004,
