--- a/lupintack/scale/hollow_router.py
+++ b/lupintack/scale/hollow_router.py
@@ -151,14 +151,14 @@
 
     def _make_budgets(self, setup: Setup) -> BudgetService:
         """Return the budget service as fleet/start.py builds it, with random demand."""
-        budgets = [budget(one.name, one.total, True, one.reserved_per_mille) for one in setup.budgets]
+        budgets = [budget(b.name, b.total, True, b.reserved_per_mille) for b in setup.budgets]
         plan = None
         if setup.regions:
-            regions = [Region(one.name, one.voters, one.sites) for one in setup.regions]
+            regions = [Region(r.name, r.voters, r.sites) for r in setup.regions]
             plan = plan_region(budgets, regions, region_of_site(regions, self.plan.site))
             budgets = list(plan.budgets)
-        numbers = {one.name: number for number, one in enumerate(setup.budgets)}
-        self.budget_numbers = tuple(numbers[one.name] for one in budgets)
+        numbers = {b.name: number for number, b in enumerate(setup.budgets)}
+        self.budget_numbers = tuple(numbers[b.name] for b in budgets)
         budget_plans = [setup.budgets[number] for number in self.budget_numbers]
         demand = Demand(budget_plans, len(setup.routers), self.plan.site, Random(setup.seed ^ self.plan.port))
         service = BudgetService(
--- a/lupintack/scale/membership_world.py
+++ b/lupintack/scale/membership_world.py
@@ -163,7 +163,7 @@
     def __init__(
         self, first: Mark, last: Mark, world: JoinedWorld, region: str = "", inside: bool = True
     ) -> None:
-        """Sum up all routers, or with a `region` those in it, or outside of it where `away` is False."""
+        """Sum up all routers, or with a `region` those in it, or outside it if `inside` is False."""
 
         def is_selected(name: str) -> bool:
             return not region or (name == region) == inside
