--- a/lupintack/scale/hollow_messages.py
+++ b/lupintack/scale/hollow_messages.py
@@ -1,4 +1,4 @@
-"""What the coordinator and the processes of a scale run say to one another: MessagePack frames on pipes."""
+"""Messages between the coordinator and the processes of a scale run: MessagePack frames on pipes."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
 
 
 class Setup(msgspec.Struct, frozen=True, tag=True):
-    """The first frame: the whole fleet, and which of its routers this process drives."""
+    """The first frame: the whole fleet, and the routers that this process runs."""
 
     seed: int
     fleet: str
     secret: str
     routers: tuple[RouterPlan, ...]
-    mine: tuple[str, ...]
+    assigned: tuple[str, ...]
     voters: tuple[str, ...]
     budgets: tuple[BudgetPlan, ...]
-    discovery: tuple[str, ...]  # addresses; a router's is given by its number
+    discovery: tuple[str, ...]  # addresses; a router's number selects one
     tmp: str
     settings_file: str
-    regions: tuple[RegionSetup, ...] = ()  # that allocate for their routers; none: budgets have one level
+    regions: tuple[RegionSetup, ...] = ()  # with allocators of their own; empty: budgets have one level
 
 
 class Start(msgspec.Struct, frozen=True, tag=True):
-    """Start these routers, as many at once as may join at once."""
+    """Start these routers, with a bounded number joining at a time."""
 
     names: tuple[str, ...]
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
-    """End these routers without a word; their ports refuse from then on."""
+    """End these routers without notice; their ports refuse connections from then on."""
 
     names: tuple[str, ...]
 
 
 class Leave(msgspec.Struct, frozen=True, tag=True):
-    """These routers say that they leave, and end a second later."""
+    """Make these routers announce that they leave, and end them a second later."""
 
     names: tuple[str, ...]
 
 
 class Pause(msgspec.Struct, frozen=True, tag=True):
-    """These routers stand still, their sockets open."""
+    """Pause these routers, with their sockets open."""
 
     names: tuple[str, ...]
 
 
 class Resume(msgspec.Struct, frozen=True, tag=True):
-    """They go on."""
+    """Resume these routers."""
 
     names: tuple[str, ...]
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """Nothing passes between these routers and all others, nor between them and discovery."""
+    """Cut these routers off from all others, and from discovery if `discovery` is set."""
 
     number: int
     names: tuple[str, ...]
@@ -70,26 +70,28 @@
 
 
 class Heal(msgspec.Struct, frozen=True, tag=True):
-    """A cut is over."""
+    """End a cut."""
 
     number: int
 
 
 class ChangeSettings(msgspec.Struct, frozen=True, tag=True):
-    """The settings file has changed: each router reads it."""
+    """Make each router read the changed settings file."""
 
     written_unix_ms: float
 
 
-class Mark(msgspec.Struct, frozen=True, tag=True):
-    """The measurement begins: counters are zero from here on."""
+class StartMeasurement(msgspec.Struct, frozen=True, tag=True):
+    """Start the measurement and reset the counters."""
 
 
 class Finish(msgspec.Struct, frozen=True, tag=True):
-    """Tell what was measured, and end."""
+    """Send the results, and end."""
 
 
-Command = Setup | Start | Kill | Leave | Pause | Resume | Cut | Heal | ChangeSettings | Mark | Finish
+Command = (
+    Setup | Start | Kill | Leave | Pause | Resume | Cut | Heal | ChangeSettings | StartMeasurement | Finish
+)
 
 
 # To a process of the discovery stand-in
@@ -105,23 +107,23 @@
 
 
 class Status(msgspec.Struct, frozen=True, tag=True):
-    """How its routers are, about once a second."""
+    """The state of the process's routers, sent twice a second."""
 
     running: int
     starting: int
     joined: int
-    least_members: int
-    most_members: int
-    views: tuple[int, ...]  # the different view ids, a few at most
-    watching: int  # routers whose connection to discovery has told something
-    allocators: tuple[str, ...]  # of the fleet
+    min_members: int
+    max_members: int
+    views: tuple[int, ...]  # distinct view ids, a few at most
+    watching: int  # routers that have received data from discovery
+    allocators: tuple[str, ...]  # the routers that are the fleet's allocator
     region_allocators: int
-    removals: int  # members that were told to be gone, at all its routers together
+    removals: int  # removals of members reported by all its routers
     behind: int
 
 
-class Happened(msgspec.Struct, frozen=True, tag=True):
-    """A fault of the script took place at this moment of the monotonic clock."""
+class LifecycleEvent(msgspec.Struct, frozen=True, tag=True):
+    """A router was started, killed, paused, resumed or left at this time of the monotonic clock."""
 
     kind: str
     name: str
@@ -129,7 +131,7 @@
 
 
 class Removal(msgspec.Struct, frozen=True):
-    """An observer told its users that these members have gone."""
+    """An observer reported the removal of these members."""
 
     at_us: int
     observer: str
@@ -137,7 +139,7 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """What a router could spend during a time: (budget's index, units), those of zero units left out."""
+    """Amounts that a router held for an interval, as (budget index, units) without zero amounts."""
 
     from_us: int
     until_us: int
@@ -145,7 +147,7 @@
 
 
 class Usage(msgspec.Struct):
-    """What a part of a router has used since the mark."""
+    """Resources that a part of a router has used since the start of the measurement."""
 
     cpu_ns: int = 0
     bytes_in: int = 0
@@ -153,7 +155,7 @@
 
 
 class RouterReport(msgspec.Struct, frozen=True):
-    """One process of one router, from its start or the mark to its end."""
+    """Results of one run of a router, from its start or that of the measurement to its end."""
 
     name: str
     measured_us: int
@@ -164,67 +166,67 @@
     budgets: Usage
     discovery: Usage
     settings: Usage
-    late_us: int  # by how much it missed its own ticks at most
+    max_tick_delay_us: int  # the largest delay of its ticks
     leases: tuple[LeaseStatus, ...]
 
 
 class Finished(msgspec.Struct, frozen=True, tag=True):
-    """All that a process has measured."""
+    """All results of a process."""
 
     routers: tuple[RouterReport, ...]
     removals: tuple[Removal, ...]
-    purge_ms: dict[int, int]  # how many purges reached a router after so many milliseconds
-    change_ms: dict[int, int]  # the same of list and settings changes
-    faults: int  # exceptions that were caught and logged
-    loop_cpu_ns: int  # of the whole thread since the mark
-    turn_most_us: int  # the longest turn of its loop
-    turn_cpu_most_ns: int  # and the most processor time of one
+    purge_ms: dict[int, int]  # number of purges by their delay to a router in milliseconds
+    change_ms: dict[int, int]  # the same for list and settings changes
+    exceptions: int  # caught and logged
+    loop_cpu_ns: int  # of the whole thread since the start of the measurement
+    max_turn_us: int  # the longest iteration of its event loop
+    max_turn_cpu_ns: int  # the largest processor time of an iteration
 
 
 class Address(msgspec.Struct, frozen=True, tag=True):
-    """Where a discovery stand-in listens."""
+    """The address of a discovery stand-in."""
 
     address: str
 
 
-Reply = Status | Happened | Finished | Address
+Reply = Status | LifecycleEvent | Finished | Address
 
 encoder = msgspec.msgpack.Encoder()
-commands: msgspec.msgpack.Decoder[Command | Publish] = msgspec.msgpack.Decoder(Command | Publish)
-replies: msgspec.msgpack.Decoder[Reply] = msgspec.msgpack.Decoder(Reply)
+command_decoder: msgspec.msgpack.Decoder[Command | Publish] = msgspec.msgpack.Decoder(Command | Publish)
+reply_decoder: msgspec.msgpack.Decoder[Reply] = msgspec.msgpack.Decoder(Reply)
 
 
-def frame(message: Command | Publish | Reply) -> bytes:
-    """A message as it goes through a pipe."""
+def encode_frame(message: Command | Publish | Reply) -> bytes:
+    """Encode a message with its length prefix."""
     raw = encoder.encode(message)
     return LENGTH.pack(len(raw)) + raw
 
 
-class Frames:
-    """Cuts the bytes of a pipe into frames."""
+class FrameBuffer:
+    """Splits the bytes of a pipe into frames."""
 
     def __init__(self) -> None:
-        """No bytes yet."""
-        self.rest = bytearray()
-
-    def cut(self, data: bytes) -> list[bytes]:
-        """The frames that are whole with these bytes."""
-        self.rest += data
-        found = []
-        while len(self.rest) >= LENGTH.size:
-            end = LENGTH.size + LENGTH.unpack_from(self.rest)[0]
-            if len(self.rest) < end:
+        """Start with an empty buffer."""
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """Append bytes and return the frames that are complete."""
+        self.buffer += data
+        frames = []
+        while len(self.buffer) >= LENGTH.size:
+            end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
+            if len(self.buffer) < end:
                 break
-            found.append(bytes(self.rest[LENGTH.size : end]))
-            del self.rest[:end]
-        return found
+            frames.append(bytes(self.buffer[LENGTH.size : end]))
+            del self.buffer[:end]
+        return frames
 
 
 def read_frame(pipe: BinaryIO) -> bytes | None:
-    """The next frame of a blocking pipe; None at its end."""
-    head = pipe.read(LENGTH.size)
-    if len(head) < LENGTH.size:
+    """Read the next frame of a blocking pipe; return None at its end."""
+    header = pipe.read(LENGTH.size)
+    if len(header) < LENGTH.size:
         return None
-    length = LENGTH.unpack(head)[0]
+    length = LENGTH.unpack(header)[0]
     body = pipe.read(length)
     return body if len(body) == length else None
--- a/lupintack/scale/membership_world.py
+++ b/lupintack/scale/membership_world.py
@@ -1,4 +1,4 @@
-"""The lab's fleet, joined from the start, with the processor time and bytes of each router.
+"""A simulated fleet of the lab that starts joined and counts the processor time and bytes of each router.
 
 The lab simulates clocks and packets; each datagram is encoded and decoded as on the wire. Every router begins
 with all records, and none of them is queued for gossip. Only the membership and the codec are timed, not the
@@ -28,14 +28,14 @@
 
 
 class Totals(NamedTuple):
-    """The cost of some routers so far."""
+    """The accumulated cost of some routers."""
 
     cpu_us: float
     bytes: int
 
 
 class Mark(NamedTuple):
-    """The totals at a moment, by region."""
+    """A snapshot of the totals by region."""
 
     at_us: int
     by_region: dict[str, Totals]
@@ -45,7 +45,7 @@
 
 
 class JoinedWorld(World):
-    """Routers that all know one another when the run begins."""
+    """A fleet whose routers have the records of all others when the run begins."""
 
     def __init__(self, seed: int, routers: int, script: Sequence[Fault], sites: int) -> None:
         """Prepare a fleet of `routers` in `sites` and the faults of `script`."""
@@ -57,19 +57,19 @@
         self.exchanges = 0
         self.marks: list[Mark] = []
 
-    def begin_joined(self) -> None:
-        """Start all processes, each with the records of all."""
+    def start_joined(self) -> None:
+        """Start all routers, each with the records of all others."""
         starts = {name: number + 1 for number, name in enumerate(self.names)}
         records = [
             (name, start, 1, int(State.ALIVE), self.hosts[name].site, f"{name}:1")
             for name, start in starts.items()
         ]
         for name, start in starts.items():
-            self._begin_joined_host(self.hosts[name], start, records)
+            self._start_joined_host(self.hosts[name], start, records)
         for name in self.names:
             self.schedule_tick(self.hosts[name])
 
-    def _begin_joined_host(self, host: Host, start: int, records: list[WireRecord]) -> None:
+    def _start_joined_host(self, host: Host, start: int, records: list[WireRecord]) -> None:
         host.start = start
         me = Record(host.name, start, 0, State.JOINING, host.site, f"{host.name}:1")
         random = Random(self.random.getrandbits(64))
@@ -109,7 +109,7 @@
     # Overrides that measure each router's processor time
 
     def call(self, host: Host, method: Callable[..., Actions], *arguments: Any) -> None:
-        """Call a process; pauses are not simulated here."""
+        """Call a router's membership; pauses are not simulated here."""
         if host.membership is None or getattr(method, "__self__", None) is not host.membership:
             return
         self.steps += 1
@@ -129,9 +129,9 @@
         if other is None:
             return
         for delay_us in self.network.delivery_delays(host.name, other.name):
-            self.clock.schedule(self.clock.now_us + delay_us, self._arrive_raw, other, raw)
+            self.clock.schedule(self.clock.now_us + delay_us, self._receive_raw, other, raw)
 
-    def _arrive_raw(self, host: Host, raw: bytes) -> None:
+    def _receive_raw(self, host: Host, raw: bytes) -> None:
         if host.membership is None:
             return
         began_ns = thread_time_ns()
@@ -152,7 +152,7 @@
     return Membership(me, config, random, seeds, codec.encoded_size)
 
 
-def regions_of(routers: int) -> int:
+def region_count(routers: int) -> int:
     """Return the number of regions of a fleet."""
     return max(1, min(MAX_REGIONS, routers // MIN_ROUTERS_PER_REGION))
 
@@ -161,18 +161,18 @@
     """The cost of the routers of one region, of the others, or of all between two marks."""
 
     def __init__(
-        self, first: Mark, last: Mark, world: JoinedWorld, region: str = "", away: bool = True
+        self, first: Mark, last: Mark, world: JoinedWorld, region: str = "", inside: bool = True
     ) -> None:
-        """Sum up all routers, or with a `region` those in it, or outside of it where `away` is False."""
+        """Sum up all routers, or with a `region` those in it, or outside it if `inside` is False."""
 
-        def counts(name: str) -> bool:
-            return not region or (name == region) == away
+        def is_selected(name: str) -> bool:
+            return not region or (name == region) == inside
 
-        routers = sum(counts(host.site) for host in world.hosts.values())
+        routers = sum(is_selected(host.site) for host in world.hosts.values())
         self.seconds = (last.at_us - first.at_us) / SECOND_US
-        chosen = [name for name in last.by_region if counts(name)]
-        self.cpu_us = sum(last.by_region[n].cpu_us - first.by_region[n].cpu_us for n in chosen)
-        self.bytes = sum(last.by_region[n].bytes - first.by_region[n].bytes for n in chosen)
+        regions = [name for name in last.by_region if is_selected(name)]
+        self.cpu_us = sum(last.by_region[n].cpu_us - first.by_region[n].cpu_us for n in regions)
+        self.bytes = sum(last.by_region[n].bytes - first.by_region[n].bytes for n in regions)
         self.exchanges = last.exchanges - first.exchanges
         share = 1.0 / (routers * self.seconds)
         self.cpu_us_per_s = self.cpu_us * share
--- a/lupintack/scale/role_purge.py
+++ b/lupintack/scale/role_purge.py
@@ -1,7 +1,7 @@
-"""What a purge costs a router, from its line off the discovery service to the decision module and own copies.
+"""Cost of a purge to a router, from the discovery line to the decision module and the local cache.
 
-The size is the number of purges that come at once. `cpu_us` is for purges of this moment, which reach the
-module; `missed_cpu_us` for those of the past, as after a cut; `copies_cpu_us` with own copies held.
+The size is the number of purges in a burst. `cpu_us` is for current purges, which reach the decision module;
+`missed_cpu_us` for past purges, as after a cut; `copies_cpu_us` for a router with local copies.
 """
 
 from __future__ import annotations
@@ -21,25 +21,27 @@
 from lupintack.interface import ServiceClass, Settings
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
-PURGES_PER_S = 25  # of the fleet that is planned for
-SETTLES_MS = 6000.0
+PURGES_PER_S = 25  # in a fleet of the planned size
+PURGE_SETTLE_MS = 6000.0
 COPY_BYTES = 10_000
-COPIES = 2_000  # own copies of that size: about what 168 MB of spare memory has room for
-COPY_PURGES = 100  # in one repeat with own copies
+COPIES = 2_000  # local copies of that size: about the capacity of 168 MB of memory
+COPY_PURGES = 100  # in one repeat with local copies
 LINK_BYTES_PER_S = 1e9
 
 
-class Reader:
-    """Discovery's reader, the member table and the core of one router; all on the calling thread."""
+class PurgeReader:
+    """Discovery client, member table and core of one router, run on the calling thread."""
 
     def __init__(self, seed: int, copies: int = 0) -> None:
-        """A purge table, and `copies` of objects that purges meet."""
-        known = Settings(classes=(ServiceClass(name="a", deadline_ms=5000.0),), purge_settle_ms=SETTLES_MS)
-        self.member_table = MemberTable(known.purge_settle_ms)
+        """Create a router with `copies` local copies."""
+        settings = Settings(
+            classes=(ServiceClass(name="a", deadline_ms=5000.0),), purge_settle_ms=PURGE_SETTLE_MS
+        )
+        self.member_table = MemberTable(settings.purge_settle_ms)
         self.copies = LocalCache((COPY_BYTES + 600) * 4 * copies, LINK_BYTES_PER_S) if copies else None
-        self.core = Core(known, seed, self.member_table, no_connection, self.copies)
+        self.core = Core(settings, seed, self.member_table, no_connection, self.copies)
         self.member_table.notify = self.core.on_endpoints_changed
-        self.lines = LineBuffer(0, SILENCE_TIMEOUT_S)
+        self.line_buffer = LineBuffer(0, SILENCE_TIMEOUT_S)
         self.discovery = DiscoveryClient(None, Names(("a",), ("z",), ("box",), ()), self.member_table, seed)
         issued_ms = int(time.time() * 1000)
         for number in range(copies):
@@ -48,28 +50,28 @@
             self.copies.put((-1 - number, 0), 0, answer)
 
     def read(self, raw: bytes) -> None:
-        """One line, all the way."""
-        self.discovery.process_line(raw, self.lines)
+        """Process one line of discovery completely."""
+        self.discovery.process_line(raw, self.line_buffer)
         update = self.member_table.mailbox.get_nowait()
         assert update is not None
         self.member_table.receive(update)
 
 
 class PurgeSubject:
-    """One size."""
+    """Measures purges in a burst of one size."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """The table of a router before its first purge."""
+        """Create a router without purges."""
         self.size, self.seed = parameters.size, parameters.seed
-        self.reader = Reader(self.seed)
+        self.reader = PurgeReader(self.seed)
 
     def sample(self) -> Sample:
-        """One repeat: three routers, each of its own."""
-        now_lines, missed_lines = lines(self.size, 0.0), lines(self.size, 1000.0 / PURGES_PER_S)
-        self.reader = Reader(self.seed)
-        now_us = purges_us(self.reader, now_lines)
-        missed = Reader(self.seed)
-        missed_us = purges_us(missed, missed_lines)
+        """Measure one repeat, with three separate routers."""
+        now_lines, missed_lines = purge_lines(self.size, 0.0), purge_lines(self.size, 1000.0 / PURGES_PER_S)
+        self.reader = PurgeReader(self.seed)
+        now_us = purge_cpu_us(self.reader, now_lines)
+        missed = PurgeReader(self.seed)
+        missed_us = purge_cpu_us(missed, missed_lines)
         details = {
             "all_s": round(now_us * self.size / 1e6, 3),
             "missed_cpu_us": missed_us,
@@ -78,48 +80,48 @@
             "missed_at_module": float(len(missed.core.router.purges.purge_times)),
             "floor_binds_all": float(self.reader.member_table.purge_memory.forgotten_purge > 0),
             "module_floor_binds_all": float(self.reader.core.router.purges.floor_ms > 0),
-            "copies_cpu_us": purges_us(Reader(self.seed, COPIES), lines(COPY_PURGES, 0.0)),
+            "copies_cpu_us": purge_cpu_us(PurgeReader(self.seed, COPIES), purge_lines(COPY_PURGES, 0.0)),
         }
         return Sample(now_us, sum(map(len, now_lines)) / self.size, 1.0, details)
 
     def state_bytes(self) -> int:
-        """Of the two tables of purges."""
+        """Return the memory of both purge tables."""
         return deep_bytes(
             self.reader.member_table.purge_memory.purges, self.reader.core.router.purges.purge_times
         )
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no resources are open."""
 
 
-def purges_us(reader: Reader, told: list[bytes]) -> float:
-    """Processor time of one purge, over all lines."""
+def purge_cpu_us(reader: PurgeReader, raw_lines: list[bytes]) -> float:
+    """Return the mean processor time of one purge over all lines."""
     began = thread_time_ns()
-    for raw in told:
+    for raw in raw_lines:
         reader.read(raw)
-    return round((thread_time_ns() - began) / 1000 / len(told), 3)
+    return round((thread_time_ns() - began) / 1000 / len(raw_lines), 3)
 
 
-def lines(count: int, apart_ms: float) -> list[bytes]:
-    """Purges of different objects as discovery words them, the last of this moment, the others before it."""
+def purge_lines(count: int, interval_ms: float) -> list[bytes]:
+    """Return discovery lines with purges of distinct objects, `interval_ms` apart, the last one now."""
     now_ms = int(time.time() * 1000)
-    found = []
+    raw_lines = []
     for number in range(1, count + 1):
-        moment_ms = int(now_ms - (count - number) * apart_ms)
-        flush = {"asset": f"{number:016x}", "ms": moment_ms}
-        found.append(json.dumps({"rev": number, "flush": flush}).encode())
-    return found
+        purge_ms = int(now_ms - (count - number) * interval_ms)
+        flush = {"asset": f"{number:016x}", "ms": purge_ms}
+        raw_lines.append(json.dumps({"rev": number, "flush": flush}).encode())
+    return raw_lines
 
 
 def no_connection(number: int, host: Endpoint) -> MemberLink:
-    """No request is sent here."""
-    raise AssertionError(f"a connection to {host.name}")
+    """Raise AssertionError: no request is sent in this measurement."""
+    raise AssertionError(f"unexpected connection to {host.name}")
 
 
 ROLE = Role(
     name="purge",
     per="purge",
-    size_is="purges at once",
+    size_label="purges in a burst",
     make=PurgeSubject,
     memory_bytes=lambda parameters: 120_000_000 + 1_200 * parameters.size,
 )
--- a/lupintack/scale/role_request.py
+++ b/lupintack/scale/role_request.py
@@ -1,8 +1,8 @@
-"""What one request costs the decision module, by the number of members that it knows.
+"""Cost of a request to the decision module, by number of members.
 
-One event is a request and the end of its one attempt, a hit. `cpu_us` is with all caches in the own location
-and objects whose scores the module still has; `new_object_cpu_us` where they are worked out. The details have
-the same with all but eight caches in other locations, and with as many parents as the size.
+One event is a request and the end of its only attempt, a hit. `cpu_us` is with all caches in the own location
+and objects whose scores are cached; `new_object_cpu_us` with objects whose scores are computed. The details
+have both with all but eight caches in other locations, and with as many parents as the size.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from lupintack.decisions.router import Router
 from lupintack.scale.slope import Parameters, Role, Sample, deep_bytes
 
-LOCATIONS = 140  # sites of the fleet that is planned for
-NEAR = 8  # caches of the own location where the others are elsewhere
+LOCATIONS = 140  # number of sites of the planned fleet
+LOCAL_CACHES = 8  # caches in the own location when the others are in other locations
 FEW_PARENTS = 4
 CACHE, PARENT, ORIGIN = 0, 1, 2  # kinds
-OBJECTS = 500  # well under those whose scores are kept
+OBJECTS = 500  # well below the number of objects whose scores are cached
 NEW_OBJECTS = 1 << 40
 PARTS = 9
-GAP_MS = 80.0  # between two requests
+REQUEST_INTERVAL_MS = 80.0  # between two requests
 ANSWER_MS = 50.0
 DEADLINE_MS = 5000.0
 WARMUP_REQUESTS = 1000
@@ -28,11 +28,11 @@
 LIST_EVENTS = 20
 
 
-class Traffic:
-    """One router and its requests, one after another."""
+class RequestTraffic:
+    """A router and a sequence of requests to it."""
 
     def __init__(self, members: list[i.Member], seed: int) -> None:
-        """A router that was told of these members."""
+        """Create a router with these members."""
         self.members = members
         self.router = Router(settings(), seed)
         self.router.handle(0.0, [i.MemberList(i.ListKind.FULL, tuple(members))])
@@ -41,17 +41,17 @@
         self.actions = 0
 
     def request(self, objects: int = OBJECTS) -> None:
-        """One request, and the end of the attempt that it leads to."""
-        self.now_ms += GAP_MS
+        """Handle one request, and the end of its attempt."""
+        self.now_ms += REQUEST_INTERVAL_MS
         self.number += 1
         object_id = self.number * 7919 % objects
         part = self.number % PARTS
-        asked = i.Request(self.number, 0, object_id, self.now_ms + DEADLINE_MS, part=part)
-        actions = self.router.handle(self.now_ms, [asked])
+        request = i.Request(self.number, 0, object_id, self.now_ms + DEADLINE_MS, part=part)
+        actions = self.router.handle(self.now_ms, [request])
         self.actions += len(actions)
         for action in actions:
             if isinstance(action, i.Fetch):
-                ended = i.AttemptEnded(
+                attempt_ended = i.AttemptEnded(
                     self.number,
                     0,
                     action.member,
@@ -62,57 +62,57 @@
                     0.0,
                     (0.4,),
                 )
-                self.router.handle(self.now_ms + ANSWER_MS, [ended])
+                self.router.handle(self.now_ms + ANSWER_MS, [attempt_ended])
 
     def list_event(self) -> None:
-        """One member's line comes again."""
+        """Handle a list event that repeats one member."""
         self.number += 1
         member = self.members[self.number % len(self.members)]
         self.router.handle(self.now_ms, [i.MemberList(i.ListKind.DELTA, (member,))])
 
 
 class RequestSubject:
-    """The three routers of one size."""
+    """Three routers of one size: caches local, caches elsewhere, many parents."""
 
     def __init__(self, parameters: Parameters) -> None:
-        """A router with as many members as `parameters` has."""
+        """Create the routers and send their warm-up requests."""
         size, seed = parameters.size, parameters.seed
-        self.own = Traffic(members(size, size, FEW_PARENTS), seed)
-        self.elsewhere = Traffic(members(size, min(NEAR, size), FEW_PARENTS), seed)
-        self.parents = Traffic(members(min(NEAR, size), min(NEAR, size), size), seed)
+        self.own = RequestTraffic(members(size, size, FEW_PARENTS), seed)
+        self.elsewhere = RequestTraffic(members(size, min(LOCAL_CACHES, size), FEW_PARENTS), seed)
+        self.parents = RequestTraffic(members(min(LOCAL_CACHES, size), min(LOCAL_CACHES, size), size), seed)
         for traffic in (self.own, self.elsewhere, self.parents):
             for _ in range(WARMUP_REQUESTS):
                 traffic.request()
 
     def step(self) -> None:
-        """One request with all caches in the own location."""
+        """Handle one request with all caches in the own location."""
         self.own.request()
 
     def sample(self) -> Sample:
-        """One repeat."""
+        """Measure one repeat."""
         before = self.own.actions
-        own_us = requests_us(self.own)
+        own_us = request_cpu_us(self.own)
         actions = (self.own.actions - before) / REQUESTS
         details = {
-            "new_object_cpu_us": requests_us(self.own, NEW_OBJECTS),
-            "elsewhere_cpu_us": requests_us(self.elsewhere),
-            "elsewhere_new_object_cpu_us": requests_us(self.elsewhere, NEW_OBJECTS),
-            "parents_cpu_us": requests_us(self.parents),
-            "parents_new_object_cpu_us": requests_us(self.parents, NEW_OBJECTS),
-            "list_event_cpu_us": list_events_us(self.own),
+            "new_object_cpu_us": request_cpu_us(self.own, NEW_OBJECTS),
+            "elsewhere_cpu_us": request_cpu_us(self.elsewhere),
+            "elsewhere_new_object_cpu_us": request_cpu_us(self.elsewhere, NEW_OBJECTS),
+            "parents_cpu_us": request_cpu_us(self.parents),
+            "parents_new_object_cpu_us": request_cpu_us(self.parents, NEW_OBJECTS),
+            "list_event_cpu_us": list_event_cpu_us(self.own),
         }
         return Sample(own_us, messages=actions, details=details)
 
     def state_bytes(self) -> int:
-        """Of the router with all caches in the own location."""
+        """Return the memory of the router with all caches in the own location."""
         return deep_bytes(self.own.router)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no resources are open."""
 
 
-def requests_us(traffic: Traffic, objects: int = OBJECTS) -> float:
-    """Processor time of one request, over a repeat; known objects are asked for once before."""
+def request_cpu_us(traffic: RequestTraffic, objects: int = OBJECTS) -> float:
+    """Return the mean processor time of a request; known objects are first requested once, unmeasured."""
     for _ in range(OBJECTS if objects == OBJECTS else 0):
         traffic.request()
     began = thread_time_ns()
@@ -121,27 +121,29 @@
     return round((thread_time_ns() - began) / 1000 / REQUESTS, 3)
 
 
-def list_events_us(traffic: Traffic) -> float:
-    """Processor time of one list event alone."""
+def list_event_cpu_us(traffic: RequestTraffic) -> float:
+    """Return the mean processor time of one list event."""
     began = thread_time_ns()
     for _ in range(LIST_EVENTS):
         traffic.list_event()
     return round((thread_time_ns() - began) / 1000 / LIST_EVENTS, 3)
 
 
-def members(caches: int, near: int, parents: int) -> list[i.Member]:
-    """Caches, the first `near` in the own location 0, then parents and the origin in one further location."""
-    found = []
+def members(caches: int, local_caches: int, parents: int) -> list[i.Member]:
+    """Return caches, the first `local_caches` in the own location 0, then parents and origin in another."""
+    result = []
     for number in range(caches):
-        location = 0 if number < near else 1 + number % (LOCATIONS - 1)
-        found.append(i.Member(10_000 + number, location, CACHE, 0, i.MemberState.READY, 4.0 + number % 2 * 3))
-    found += [i.Member(100 + n, LOCATIONS, PARENT, 0, i.MemberState.READY, 20.0) for n in range(parents)]
-    found.append(i.Member(1, LOCATIONS, ORIGIN))
-    return found
+        location = 0 if number < local_caches else 1 + number % (LOCATIONS - 1)
+        result.append(
+            i.Member(10_000 + number, location, CACHE, 0, i.MemberState.READY, 4.0 + number % 2 * 3)
+        )
+    result += [i.Member(100 + n, LOCATIONS, PARENT, 0, i.MemberState.READY, 20.0) for n in range(parents)]
+    result.append(i.Member(1, LOCATIONS, ORIGIN))
+    return result
 
 
 def settings() -> i.Settings:
-    """Settings that allow second attempts, direct reads and cancelling."""
+    """Return settings that allow retries, hedged requests, direct reads and cancelling."""
     cls = i.ServiceClass(
         name="a", latency_objective_ms=500.0, latency_objective_stretch=2.0, deadline_ms=DEADLINE_MS
     )
@@ -172,7 +174,7 @@
 ROLE = Role(
     name="request",
     per="request",
-    size_is="members",
+    size_label="members",
     make=RequestSubject,
     memory_bytes=lambda parameters: 30_000_000 + 60_000 * parameters.size,
 )
--- a/lupintack/scale/roles.py
+++ b/lupintack/scale/roles.py
@@ -1,4 +1,4 @@
-"""The roles by name, and the check that a slope can be measured on this machine."""
+"""The roles by name, and checks that a slope can be measured on this machine."""
 
 from __future__ import annotations
 
@@ -28,36 +28,36 @@
         role_allocator,
     )
 }
-MEMORY_SHARE = 0.5  # of what is available: others use the machine, too
+MEMORY_SHARE = 0.5  # of the available memory: the machine is shared
 MEMORY_FILE = Path("/proc/meminfo")
 
 
 def role(name: str) -> Role:
-    """The role; SlopeError where there is none of that name."""
+    """Return a role by name; raise SlopeError if it does not exist."""
     if name not in ROLES:
-        raise SlopeError(f"no role {name!r}; wanted is one of {', '.join(ROLES)}")
+        raise SlopeError(f"no role {name!r}; use one of {', '.join(ROLES)}")
     return ROLES[name]
 
 
 def sizes(text: str) -> tuple[int, ...]:
-    """The sizes that the user named; SlopeError for anything but positive whole numbers."""
+    """Parse comma-separated sizes; raise SlopeError for anything but positive integers."""
     words = [word.strip() for word in text.split(",")]
-    wrong = [word for word in words if not (word.isascii() and word.isdigit() and int(word) > 0)]
-    if wrong:
-        raise SlopeError(f"--sizes: positive whole numbers are wanted, not {wrong[0]!r}")
+    invalid = [word for word in words if not (word.isascii() and word.isdigit() and int(word) > 0)]
+    if invalid:
+        raise SlopeError(f"--sizes: positive integers are required, not {invalid[0]!r}")
     return tuple(int(word) for word in words)
 
 
-def check(wanted: Role, parameters: Parameters) -> None:
-    """SlopeError where the role means nothing at this size, or the machine lacks memory or descriptors."""
-    if parameters.size < wanted.min_size:
-        raise SlopeError(f"--sizes: {parameters.size}: {wanted.min_size} at the least for {wanted.name}")
-    needed, spare = wanted.memory_bytes(parameters), available_bytes() * MEMORY_SHARE
+def check(role: Role, parameters: Parameters) -> None:
+    """Raise SlopeError if the size is below the role's minimum, or memory or descriptors are insufficient."""
+    if parameters.size < role.min_size:
+        raise SlopeError(f"--sizes: {parameters.size}: must be at least {role.min_size} for {role.name}")
+    needed, spare = role.memory_bytes(parameters), available_bytes() * MEMORY_SHARE
     if needed > spare:
         raise SlopeError(
             f"--sizes: {parameters.size}: about {needed >> 20} MiB are needed, {int(spare) >> 20} can be used"
         )
-    descriptors, limit = wanted.descriptors(parameters), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    descriptors, limit = role.descriptors(parameters), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if limit != resource.RLIM_INFINITY and descriptors > limit:
         raise SlopeError(
             f"--sizes: {parameters.size}: {descriptors} descriptors are needed, the limit is {limit}"
@@ -65,10 +65,10 @@
 
 
 def available_bytes() -> int:
-    """Memory that could be had without swapping; without bound where the system does not say."""
+    """Return the memory available without swapping; unlimited if the system does not report it."""
     try:
         lines = MEMORY_FILE.read_text().splitlines()
     except OSError:
         return 1 << 62
-    found = [int(line.split()[1]) * 1024 for line in lines if line.startswith("MemAvailable:")]
-    return found[0] if found else 1 << 62
+    available = [int(line.split()[1]) * 1024 for line in lines if line.startswith("MemAvailable:")]
+    return available[0] if available else 1 << 62
