--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class ContentHost:
     """A host whose content is offered."""
 
     name: str
@@ -64,7 +64,7 @@
     item: str
     part: int
     group: int
-    site: Site
+    host: ContentHost
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
     listen: tuple[str, int]
     id: str
     base: str
-    sites: dict[str, Site] = field(default_factory=dict)
+    hosts: dict[str, ContentHost] = field(default_factory=dict)
     upstreams: dict[str, Upstream] = field(default_factory=dict)
     downstreams: dict[str, Downstream] = field(default_factory=dict)
     enabled: bool = True
@@ -83,21 +83,21 @@
         """Return the content that a URL names, or None for what is not offered."""
         try:
             parts = urlsplit(url)
-            host, path = parts.netloc.lower(), parts.path or "/"
-            site = self.sites.get(host) or self.sites.get(parts.hostname or "")
+            authority, path = parts.netloc.lower(), parts.path or "/"
+            host = self.hosts.get(authority) or self.hosts.get(parts.hostname or "")
             nth = parse_qs(parts.query).get(PART_PARAMETER, ["0"])[0]
         except ValueError:
             return None
-        if site is None or parts.scheme not in ("http", "https"):
+        if host is None or parts.scheme not in ("http", "https"):
             return None
-        matching = [content_path for content_path in site.paths if path.startswith(content_path.prefix)]
+        matching = [content_path for content_path in host.paths if path.startswith(content_path.prefix)]
         if not matching or not (nth.isascii() and nth.isdigit() and len(nth) < 10):
             return None
         last = path.rsplit("/", 1)[1]
         if not OBJECT.fullmatch(last):
-            last = hashlib.blake2b(f"{site.name}{path}".encode(), digest_size=8).hexdigest()
+            last = hashlib.blake2b(f"{host.name}{path}".encode(), digest_size=8).hexdigest()
         path_of_class = max(matching, key=lambda p: len(p.prefix))
-        return Content(path_of_class.class_index, last, int(nth), site.group, site)
+        return Content(path_of_class.class_index, last, int(nth), host.group, host)
 
 
 def group_of_collection(ccid: str) -> int:
@@ -121,27 +121,27 @@
     from lupintack.settings.cdni import File
 
     file = files.record(File, data, name)
-    sites = [_site(one, classes, name) for one in file.host]
+    hosts = [_content_host(host, classes, name) for host in file.host]
     found = Cdni(
         enabled=file.enabled,
         listen=files.address(file.listen, f"{name}: listen"),
         id=file.id,
         base=file.base.rstrip("/"),
-        sites={site.name: site for site in sites},
+        hosts={host.name: host for host in hosts},
         upstreams={up.id: Upstream(up.id, up.metadata) for up in file.upstream},
         downstreams={down.id: Downstream(down.id, down.redirect, down.triggers) for down in file.downstream},
     )
     if not found.id or not found.base.startswith("http://"):
         raise ConfigError(f"{name}: id and base (http://...) are wanted")
-    for site in sites:
-        if site.upstream and site.upstream not in found.upstreams:
-            raise ConfigError(f"{name}: host {site.name}: no upstream {site.upstream!r}")
-        if site.downstream and site.downstream not in found.downstreams:
-            raise ConfigError(f"{name}: host {site.name}: no downstream {site.downstream!r}")
+    for host in hosts:
+        if host.upstream and host.upstream not in found.upstreams:
+            raise ConfigError(f"{name}: host {host.name}: no upstream {host.upstream!r}")
+        if host.downstream and host.downstream not in found.downstreams:
+            raise ConfigError(f"{name}: host {host.name}: no downstream {host.downstream!r}")
     return found
 
 
-def _site(host: Host, classes: tuple[str, ...], file: str) -> Site:
+def _content_host(host: Host, classes: tuple[str, ...], file: str) -> ContentHost:
     paths = []
     for path in host.path:
         if path.cls not in classes:
@@ -149,4 +149,4 @@
                 f"{file}: host {host.name}: unknown class {path.cls!r}, wanted is one of {classes}"
             )
         paths.append(ContentPath(path.prefix, classes.index(path.cls)))
-    return Site(host.name.lower(), host.group, tuple(paths), host.upstream, host.downstream)
+    return ContentHost(host.name.lower(), host.group, tuple(paths), host.upstream, host.downstream)
--- a/lupintack/fronts/cdni/delivery.py
+++ b/lupintack/fronts/cdni/delivery.py
@@ -112,7 +112,7 @@
 
     def group(self, content: Content, url: str, client_ip: str) -> int:
         """Return the content's group; raise DeliveryDeniedError where the upstream's metadata forbids it."""
-        upstream = self.conf.upstreams.get(content.site.upstream)
+        upstream = self.conf.upstreams.get(content.host.upstream)
         if upstream is None or not upstream.metadata:
             return content.group
         found = self.store.resolve(upstream.metadata, url)
--- a/lupintack/fronts/cdni/front.py
+++ b/lupintack/fronts/cdni/front.py
@@ -93,11 +93,11 @@
         """Answer with the metadata that downstream CDNs need (RFC 8006)."""
         need(exchange, "GET")
         kind, _, name = resource_path.partition("/")
-        site = self.conf.sites.get(name)
+        host = self.conf.hosts.get(name)
         if resource_path == "hostindex":
             self.document(exchange, messages.HOST_INDEX, metadata.host_index(self.conf))
-        elif kind == "host" and site is not None and site.downstream:
-            self.document(exchange, messages.HOST_METADATA, metadata.host_metadata(self.conf, site))
+        elif kind == "host" and host is not None and host.downstream:
+            self.document(exchange, messages.HOST_METADATA, metadata.host_metadata(self.conf, host))
         else:
             raise HttpError(404, "no such metadata")
 
--- a/lupintack/fronts/cdni/metadata.py
+++ b/lupintack/fronts/cdni/metadata.py
@@ -13,7 +13,7 @@
 
 from lupintack.clock import now_us
 from lupintack.fronts.cdni import client, messages
-from lupintack.fronts.cdni.conf import Cdni, Site, group_of_collection
+from lupintack.fronts.cdni.conf import Cdni, ContentHost, group_of_collection
 from lupintack.fronts.exchange import HttpError
 
 FETCH_LIMIT_US = 2_000_000
@@ -204,21 +204,21 @@
     link = {"type": messages.HOST_METADATA}
     return {
         "hosts": [
-            {"host": site.name, "host-metadata": {**link, "href": f"{conf.base}/metadata/host/{site.name}"}}
-            for site in conf.sites.values()
-            if site.downstream
+            {"host": host.name, "host-metadata": {**link, "href": f"{conf.base}/metadata/host/{host.name}"}}
+            for host in conf.hosts.values()
+            if host.downstream
         ]
     }
 
 
-def host_metadata(conf: Cdni, site: Site) -> dict[str, Any]:
+def host_metadata(conf: Cdni, host: ContentHost) -> dict[str, Any]:
     """Return this CDN's HostMetadata of one host."""
     endpoint = urlsplit(conf.base).netloc
     return {
         "metadata": [
             _generic("MI.SourceMetadata", {"sources": [{"endpoints": [endpoint], "protocol": "http/1.1"}]}),
             _generic("MI.ProtocolACL", {"protocol-acl": [{"protocols": ["http/1.1"], "action": "allow"}]}),
-            _generic("MI.Grouping", {"ccid": str(site.group)}),
+            _generic("MI.Grouping", {"ccid": str(host.group)}),
         ],
         "paths": [],
     }
--- a/lupintack/fronts/cdni/redirection.py
+++ b/lupintack/fronts/cdni/redirection.py
@@ -141,7 +141,7 @@
 
         Guards requests that are not idempotent: they stay here, since two CDNs could each run one.
         """
-        downstream = self.conf.downstreams.get(content.site.downstream)
+        downstream = self.conf.downstreams.get(content.host.downstream)
         if downstream is None or not downstream.redirect or downstream.id in path:
             return None
         if self.delivery.core.settings.classes[content.class_index].is_write:
--- a/lupintack/fronts/cdni/triggers.py
+++ b/lupintack/fronts/cdni/triggers.py
@@ -205,7 +205,7 @@
         waits: list[tuple[threading.Event, str, str]] = []
         for url in messages.read_texts(spec, "content.urls"):
             content = self.conf.locate(url)
-            if content is None or content.site.upstream not in ("", resource.owner):
+            if content is None or content.host.upstream not in ("", resource.owner):
                 errors.append(problem("eperm", "not this CDN's content", "content.urls", [url]))
                 continue
             in_force = threading.Event()
@@ -239,7 +239,7 @@
             if resource.cancelled.is_set():
                 return
             content = self.conf.locate(url)
-            if content is None or content.site.upstream not in ("", resource.owner):
+            if content is None or content.host.upstream not in ("", resource.owner):
                 errors.append(problem("eperm", "not this CDN's content", "content.urls", [url]))
             elif self.delivery.core.settings.classes[content.class_index].is_write:
                 errors.append(problem("ereject", "this class is never kept", "content.urls", [url]))
