--- a/lupintack/fronts/cdni/client.py
+++ b/lupintack/fronts/cdni/client.py
@@ -35,10 +35,10 @@
 
 
 def call(
-    method: str, url: str, limit_us: int, body: bytes = b"", headers: dict[str, str] | None = None
+    method: str, url: str, timeout_us: int, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Reply:
     """Make one call; raise CallError for a refused connection, a time-out and an unreadable answer."""
-    until = now_us() + limit_us
+    deadline_us = now_us() + timeout_us
     try:
         parts = urlsplit(url)
         host, port = parts.hostname or "", parts.port or 80
@@ -49,9 +49,9 @@
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         if body or method in ("POST", "PUT"):
             lines.append(f"Content-Length: {len(body)}")
-        with socket.create_connection((host, port), timeout=limit_us / 1e6) as sock:
+        with socket.create_connection((host, port), timeout=timeout_us / 1e6) as sock:
             sock.sendall(("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body)
-            return _reply(sock, until)
+            return _read_reply(sock, deadline_us)
     except (OSError, ValueError) as error:
         raise CallError(f"{method} {url[:100]}: {error}") from None
 
@@ -59,17 +59,17 @@
 class _Receiver:
     """Reads one reply from a connection, until a deadline."""
 
-    def __init__(self, sock: socket.socket, until_us: int) -> None:
+    def __init__(self, sock: socket.socket, deadline_us: int) -> None:
         self.sock = sock
-        self.until_us = until_us
+        self.deadline_us = deadline_us
         self.buffer = bytearray()
 
     def receive(self) -> bool:
         """Wait for bytes; return False at the end of the connection, raise TimeoutError at the deadline."""
-        left_us = self.until_us - now_us()
-        if left_us <= 0:
+        remaining_us = self.deadline_us - now_us()
+        if remaining_us <= 0:
             raise TimeoutError("no answer in time")
-        self.sock.settimeout(left_us / 1e6)
+        self.sock.settimeout(remaining_us / 1e6)
         data = self.sock.recv(READ_BYTES)
         self.buffer.extend(data)
         return bool(data)
@@ -102,13 +102,13 @@
         return bytes(self.buffer[:length])
 
 
-def _reply(sock: socket.socket, until_us: int) -> Reply:
-    receiver = _Receiver(sock, until_us)
+def _read_reply(sock: socket.socket, deadline_us: int) -> Reply:
+    receiver = _Receiver(sock, deadline_us)
     status, headers = receiver.read_head()
-    text = headers.get("content-length", "")
-    if "transfer-encoding" in headers or (text and not text.isdigit()):
+    length_text = headers.get("content-length", "")
+    if "transfer-encoding" in headers or (length_text and not length_text.isdigit()):
         raise CallError("an answer's framing is not supported")
-    length = int(text) if text else None
+    length = int(length_text) if length_text else None
     if status in BODYLESS_STATUSES:
         length = 0
     return Reply(status, headers, receiver.read_body(length))
--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -17,7 +17,7 @@
     from lupintack.settings.cdni import Host
 
 FILE = Path(__file__).parents[3] / "deploy" / "cdni.toml"
-OBJECT = re.compile(r"[0-9a-f]{16}")
+OBJECT_ID = re.compile(r"[0-9a-f]{16}")
 
 
 @dataclass(frozen=True)
@@ -93,11 +93,11 @@
         matching = [content_path for content_path in host.paths if path.startswith(content_path.prefix)]
         if not matching or not (nth.isascii() and nth.isdigit() and len(nth) < 10):
             return None
-        last = path.rsplit("/", 1)[1]
-        if not OBJECT.fullmatch(last):
-            last = hashlib.blake2b(f"{host.name}{path}".encode(), digest_size=8).hexdigest()
-        path_of_class = max(matching, key=lambda p: len(p.prefix))
-        return Content(path_of_class.class_index, last, int(nth), host.group, host)
+        item = path.rsplit("/", 1)[1]
+        if not OBJECT_ID.fullmatch(item):
+            item = hashlib.blake2b(f"{host.name}{path}".encode(), digest_size=8).hexdigest()
+        content_path = max(matching, key=lambda p: len(p.prefix))
+        return Content(content_path.class_index, item, int(nth), host.group, host)
 
 
 def group_of_collection(ccid: str) -> int:
@@ -112,8 +112,8 @@
     data = files.read(path)
     if data is None or files.is_off(data):
         return None
-    found = parse(data, path.name, classes)
-    return found if found.enabled else None
+    config = parse(data, path.name, classes)
+    return config if config.enabled else None
 
 
 def parse(data: dict[str, Any], name: str, classes: tuple[str, ...]) -> Cdni:
@@ -121,8 +121,8 @@
     from lupintack.settings.cdni import File
 
     file = files.record(File, data, name)
-    hosts = [_content_host(host, classes, name) for host in file.host]
-    found = Cdni(
+    hosts = [_content_host(entry, classes, name) for entry in file.host]
+    config = Cdni(
         enabled=file.enabled,
         listen=files.address(file.listen, f"{name}: listen"),
         id=file.id,
@@ -131,14 +131,14 @@
         upstreams={up.id: Upstream(up.id, up.metadata) for up in file.upstream},
         downstreams={down.id: Downstream(down.id, down.redirect, down.triggers) for down in file.downstream},
     )
-    if not found.id or not found.base.startswith("http://"):
+    if not config.id or not config.base.startswith("http://"):
         raise ConfigError(f"{name}: id and base (http://...) are wanted")
     for host in hosts:
-        if host.upstream and host.upstream not in found.upstreams:
+        if host.upstream and host.upstream not in config.upstreams:
             raise ConfigError(f"{name}: host {host.name}: no upstream {host.upstream!r}")
-        if host.downstream and host.downstream not in found.downstreams:
+        if host.downstream and host.downstream not in config.downstreams:
             raise ConfigError(f"{name}: host {host.name}: no downstream {host.downstream!r}")
-    return found
+    return config
 
 
 def _content_host(host: Host, classes: tuple[str, ...], file: str) -> ContentHost:
--- a/lupintack/fronts/cdni/delivery.py
+++ b/lupintack/fronts/cdni/delivery.py
@@ -18,7 +18,7 @@
 from lupintack.interface import Idempotency
 
 MAX_REMEMBERED_IDS = 4096  # ids of unsafe requests that are remembered
-REMEMBER_US = 60_000_000  # for so long
+ID_LIFETIME_US = 60_000_000  # for so long
 
 
 class RunOnceIds:
@@ -33,12 +33,12 @@
         self.lock = threading.Lock()
         self.ids: OrderedDict[str, int] = OrderedDict()
 
-    def enter(self, wire_id: str) -> bool:
+    def add(self, wire_id: str) -> bool:
         """Return whether the request with this id may run now."""
         now = now_us()
         with self.lock:
             while self.ids and (
-                len(self.ids) >= MAX_REMEMBERED_IDS or next(iter(self.ids.values())) < now - REMEMBER_US
+                len(self.ids) >= MAX_REMEMBERED_IDS or next(iter(self.ids.values())) < now - ID_LIFETIME_US
             ):
                 self.ids.popitem(last=False)
             if wire_id in self.ids:
@@ -46,7 +46,7 @@
             self.ids[wire_id] = now
             return True
 
-    def forget(self, wire_id: str) -> None:
+    def remove(self, wire_id: str) -> None:
         """Forget the id of a request that never ran."""
         with self.lock:
             self.ids.pop(wire_id, None)
@@ -65,8 +65,10 @@
     def reject(self, wait_ms: int) -> None:
         """Answer that the request was rejected before it ran; 0 ms: no time to retry is named."""
         self.on_rejected()
-        wait: list[tuple[str, object]] = [("Retry-After", max(1, -(-wait_ms // 1000)))] if wait_ms > 0 else []
-        self.exchange.answer(503, wait + platform_headers.retry_after(wait_ms))
+        headers: list[tuple[str, object]] = (
+            [("Retry-After", max(1, -(-wait_ms // 1000)))] if wait_ms > 0 else []
+        )
+        self.exchange.answer(503, headers + platform_headers.retry_after(wait_ms))
 
 
 class WaitSink:
@@ -106,17 +108,17 @@
         """`store`: the metadata of upstream CDNs."""
         self.conf = conf
         self.core = core
-        self.names = tuple(cls.name for cls in core.settings.classes)  # as the CDNI file was read
+        self.class_names = tuple(cls.name for cls in core.settings.classes)  # as the CDNI file was read
         self.store = store
         self.run_once_ids = RunOnceIds()
 
-    def group(self, content: Content, url: str, client_ip: str) -> int:
+    def resolve_group(self, content: Content, url: str, client_ip: str) -> int:
         """Return the content's group; raise DeliveryDeniedError where the upstream's metadata forbids it."""
         upstream = self.conf.upstreams.get(content.host.upstream)
         if upstream is None or not upstream.metadata:
             return content.group
-        found = self.store.resolve(upstream.metadata, url)
-        group = metadata.check(found, client_ip, unix_now_ms() / 1000.0)
+        entries = self.store.resolve(upstream.metadata, url)
+        group = metadata.check_delivery(entries, client_ip, unix_now_ms() / 1000.0)
         return content.group if group is None else group
 
     def serve(self, exchange: Exchange, url: str) -> None:
@@ -135,29 +137,29 @@
         if runs_once and not platform_headers.has_request_id(request.headers):
             raise platform_headers.missing_request_id()
         wait_ms = platform_headers.parse_wait_ms(request.headers, str(int(service_class.deadline_ms)))
-        if runs_once and not self.run_once_ids.enter(request_id):
+        if runs_once and not self.run_once_ids.add(request_id):
             raise HttpError(409, "this request was taken before and may have run")
-        client_request = self.client_request(exchange, content, request_id, wait_ms)
+        client_request = self.build_request(exchange, content, request_id, wait_ms)
         client_request.group = group
         exchange.on_disconnected = lambda: self.core.on_client_disconnected(client_request)
         if exchange.is_disconnected():
             # Guards against a client that left while the metadata was fetched: on_left was nobody's then.
             self.core.counters.increment("cdni.left")
             if runs_once:
-                self.run_once_ids.forget(request_id)  # nothing has run
+                self.run_once_ids.remove(request_id)  # nothing has run
             return
         self.core.submit(client_request)
 
     def permitted_group(self, exchange: Exchange, content: Content, url: str) -> int:
         """Return the content's group; raise Bad where the upstream's metadata forbids the delivery."""
         try:
-            return self.group(content, url, exchange.peer_ip)
+            return self.resolve_group(content, url, exchange.peer_ip)
         except metadata.DeliveryDeniedError as error:
             raise HttpError(403, str(error)) from None
         except metadata.MetadataError as error:
             raise HttpError(502, f"metadata: {error}") from None
 
-    def client_request(
+    def build_request(
         self, exchange: Exchange, content: Content, request_id: str, wait_ms: int
     ) -> ClientRequest:
         """Return a client's request in the core's terms."""
@@ -165,7 +167,7 @@
         service_class = self.core.settings.classes[content.class_index]
         runs_once = service_class.idempotency is not Idempotency.IDEMPOTENT
         # A client without a key: the router's own attempts carry one of the router's.
-        own_key = secrets.token_hex(16) if service_class.idempotency is Idempotency.KEYED else ""
+        generated_key = secrets.token_hex(16) if service_class.idempotency is Idempotency.KEYED else ""
         return ClientRequest(
             wire_id=request_id,
             class_index=content.class_index,
@@ -173,19 +175,19 @@
             object_id=int(content.item, 16),
             part=content.part,
             group=content.group,
-            class_name=self.names[content.class_index],
+            class_name=self.class_names[content.class_index],
             deadline_us=deadline_us(request.received_us, wait_ms),
-            sink=CdnSink(exchange, lambda: self.run_once_ids.forget(request_id) if runs_once else None),
+            sink=CdnSink(exchange, lambda: self.run_once_ids.remove(request_id) if runs_once else None),
             is_retry=platform_headers.is_retry(headers),
             is_write=service_class.is_write,
             body=request.body,
-            idempotency_key=platform_headers.parse_idempotency_key(headers) or own_key,
+            idempotency_key=platform_headers.parse_idempotency_key(headers) or generated_key,
             cached_tag="" if service_class.is_write else headers.get("if-none-match", "").strip().strip('"'),
         )
 
     def fetch(self, content: Content, group: int) -> bool:
         """Fetch content into the caches; return whether that succeeded in the time of its class."""
-        cls = self.core.settings.classes[content.class_index]
+        service_class = self.core.settings.classes[content.class_index]
         sink = WaitSink()
         request = ClientRequest(
             wire_id=secrets.token_hex(8),
@@ -194,11 +196,11 @@
             object_id=int(content.item, 16),
             part=content.part,
             group=group,
-            class_name=self.names[content.class_index],
-            deadline_us=now_us() + int(cls.deadline_ms * 1000),
+            class_name=self.class_names[content.class_index],
+            deadline_us=now_us() + int(service_class.deadline_ms * 1000),
             sink=sink,
-            idempotency_key=secrets.token_hex(16) if cls.idempotency is Idempotency.KEYED else "",
+            idempotency_key=secrets.token_hex(16) if service_class.idempotency is Idempotency.KEYED else "",
         )
         self.core.submit(request)
-        sink.done.wait(cls.deadline_ms / 1000 + 1)
+        sink.done.wait(service_class.deadline_ms / 1000 + 1)
         return sink.is_served
--- a/lupintack/fronts/cdni/front.py
+++ b/lupintack/fronts/cdni/front.py
@@ -14,7 +14,7 @@
 from lupintack.fronts.cdni.conf import Cdni
 from lupintack.fronts.cdni.delivery import Delivery
 from lupintack.fronts.cdni.redirection import DEFAULT_MAX_HOPS, Redirection, RiError
-from lupintack.fronts.cdni.triggers import FILTERS, WORKERS, Triggers
+from lupintack.fronts.cdni.triggers import STATUS_FILTERS, WORKER_COUNT, Triggers
 from lupintack.fronts.exchange import Exchange, HttpError
 
 
@@ -37,7 +37,7 @@
         self.delivery = Delivery(conf, core, self.store)
         self.triggers = Triggers(conf, member_table, self.delivery, self.store)
         self.redirection = Redirection(conf, self.delivery, ready, core.counters)
-        for _ in range(WORKERS):
+        for _ in range(WORKER_COUNT):
             spawn(self.triggers.run, "triggers")
 
     def handle(self, exchange: Exchange) -> None:
@@ -52,52 +52,54 @@
 
     def on_alive(self, exchange: Exchange, resource_path: str) -> None:
         """Answer a health check."""
-        need(exchange, "GET")
+        require_method(exchange, "GET")
         exchange.answer(200 if self.ready() else 503)
 
     def on_triggers(self, exchange: Exchange, resource_path: str) -> None:
         """Answer for RFC 8007's collection, its filters and the status resources."""
-        if resource_path in ("", *FILTERS):
+        if resource_path in ("", *STATUS_FILTERS):
             if exchange.request.method == "POST" and resource_path == "":
                 data = messages.read_message(exchange, messages.COMMAND, messages.STATUS)
-                made = self.triggers.command(data)
-                if made is None:
+                created = self.triggers.handle_command(data)
+                if created is None:
                     exchange.answer(200)
                 else:
-                    location = ("Location", self.triggers.url(made))
-                    messages.send_object(exchange, 201, messages.STATUS, made.data(), location)
+                    location = ("Location", self.triggers.url(created))
+                    messages.send_object(exchange, 201, messages.STATUS, created.to_json(), location)
                 return
-            need(exchange, "GET")
-            self.document(exchange, messages.COLLECTION, self.triggers.listing(resource_path))
+            require_method(exchange, "GET")
+            self.send_document(exchange, messages.COLLECTION, self.triggers.collection(resource_path))
             return
-        resource = self.triggers.by_url(f"{self.conf.base}/triggers/{resource_path}")
+        resource = self.triggers.find_by_url(f"{self.conf.base}/triggers/{resource_path}")
         if exchange.request.method == "DELETE":
             self.triggers.delete(resource)
             exchange.answer(204)
             return
-        need(exchange, "GET")
-        self.document(exchange, messages.STATUS, resource.data())
+        require_method(exchange, "GET")
+        self.send_document(exchange, messages.STATUS, resource.to_json())
 
     def on_ri(self, exchange: Exchange, resource_path: str) -> None:
         """Answer a redirection request of RFC 7975."""
-        need(exchange, "POST")
+        require_method(exchange, "POST")
         data = messages.read_message(exchange, messages.RI_REQUEST, messages.RI_RESPONSE)
         try:
-            found = self.redirection.answer(data)
-            messages.send_object(exchange, 200, messages.RI_RESPONSE, found, ("Cache-Control", "max-age=5"))
+            response = self.redirection.answer(data)
+            messages.send_object(
+                exchange, 200, messages.RI_RESPONSE, response, ("Cache-Control", "max-age=5")
+            )
         except RiError as error:
-            extra = ("Cache-Control", "private, no-cache")
-            messages.send_object(exchange, 500, messages.RI_RESPONSE, error.data(), extra)
+            cache_control = ("Cache-Control", "private, no-cache")
+            messages.send_object(exchange, 500, messages.RI_RESPONSE, error.to_json(), cache_control)
 
     def on_metadata(self, exchange: Exchange, resource_path: str) -> None:
         """Answer with the metadata that downstream CDNs need (RFC 8006)."""
-        need(exchange, "GET")
+        require_method(exchange, "GET")
         kind, _, name = resource_path.partition("/")
         host = self.conf.hosts.get(name)
         if resource_path == "hostindex":
-            self.document(exchange, messages.HOST_INDEX, metadata.host_index(self.conf))
+            self.send_document(exchange, messages.HOST_INDEX, metadata.host_index(self.conf))
         elif kind == "host" and host is not None and host.downstream:
-            self.document(exchange, messages.HOST_METADATA, metadata.host_metadata(self.conf, host))
+            self.send_document(exchange, messages.HOST_METADATA, metadata.host_metadata(self.conf, host))
         else:
             raise HttpError(404, "no such metadata")
 
@@ -113,14 +115,14 @@
             http = {
                 "c-ip": exchange.peer_ip, "cs-uri": url, "cs-version": "HTTP/1.1", "cs-method": "GET",
             }  # fmt: skip
-            found = self.redirection.redirect_downstream(content, http, [], DEFAULT_MAX_HOPS)
-            if found is not None:
-                redirection = found["http"]
+            response = self.redirection.redirect_downstream(content, http, [], DEFAULT_MAX_HOPS)
+            if response is not None:
+                redirection = response["http"]
                 exchange.answer(int(redirection["sc-status"]), [("Location", redirection["sc-(location)"])])
                 return
         self.delivery.serve(exchange, url)
 
-    def document(self, exchange: Exchange, ptype: str, data: dict[str, Any]) -> None:
+    def send_document(self, exchange: Exchange, ptype: str, data: dict[str, Any]) -> None:
         """Answer with a JSON object that can be revalidated by its tag."""
         if not messages.accepts(exchange.request.headers.get("accept", ""), ptype):
             raise HttpError(406, f"the answer is {messages.media_type(ptype)}")
@@ -140,7 +142,7 @@
     }
 
 
-def need(exchange: Exchange, method: str) -> None:
+def require_method(exchange: Exchange, method: str) -> None:
     """Raise HttpError where the method is not the one of a resource."""
     if exchange.request.method != method:
         raise HttpError(405, f"{method} is wanted")
--- a/lupintack/fronts/cdni/messages.py
+++ b/lupintack/fronts/cdni/messages.py
@@ -36,22 +36,22 @@
     """Return whether an Accept field admits a payload type; an empty one admits everything."""
     if not header.strip():
         return True
-    for one in header.split(","):
-        kind = one.split(";")[0].strip().lower()
+    for media_range in header.split(","):
+        kind = media_range.split(";")[0].strip().lower()
         if kind in ("*/*", "application/*"):
             return True
-        if kind == "application/cdni" and payload_type(one) in ("", ptype):
+        if kind == "application/cdni" and payload_type(media_range) in ("", ptype):
             return True
     return False
 
 
-def read_message(exchange: Exchange, ptype: str, answer: str) -> dict[str, Any]:
+def read_message(exchange: Exchange, ptype: str, answer_ptype: str) -> dict[str, Any]:
     """Return the JSON object of a request; its type, and that of the answer, must be acceptable."""
     headers = exchange.request.headers
     if payload_type(headers.get("content-type", "")) != ptype:
         raise HttpError(415, f"{media_type(ptype)} is wanted")
-    if not accepts(headers.get("accept", ""), answer):
-        raise HttpError(406, f"the answer is {media_type(answer)}")
+    if not accepts(headers.get("accept", ""), answer_ptype):
+        raise HttpError(406, f"the answer is {media_type(answer_ptype)}")
     return parse_object(exchange.request.body)
 
 
@@ -79,8 +79,8 @@
     value = data.get(key, [])
     if not isinstance(value, list) or len(value) > maximum:
         raise HttpError(400, f"{key}: a list of {maximum} strings at most is wanted")
-    for one in value:
-        if not isinstance(one, str) or len(one) > MAX_TEXT_CHARACTERS:
+    for item in value:
+        if not isinstance(item, str) or len(item) > MAX_TEXT_CHARACTERS:
             raise HttpError(400, f"{key}: a string of {MAX_TEXT_CHARACTERS} characters at most is wanted")
     return value
 
--- a/lupintack/fronts/cdni/metadata.py
+++ b/lupintack/fronts/cdni/metadata.py
@@ -16,9 +16,9 @@
 from lupintack.fronts.cdni.conf import Cdni, ContentHost, group_of_collection
 from lupintack.fronts.exchange import HttpError
 
-FETCH_LIMIT_US = 2_000_000
+FETCH_TIMEOUT_US = 2_000_000
 DEFAULT_MAX_AGE_US = 60_000_000  # a document without a max-age is asked for anew after this long
-LONGEST_MAX_AGE_US = 3_600_000_000
+MAX_AGE_LIMIT_US = 3_600_000_000
 MAX_DOCUMENTS = 256
 MAX_DEPTH = 8  # links and nested paths followed for one URL
 
@@ -59,7 +59,7 @@
         if cached is not None and now_us() < cached.expires_us:
             return cached.data
         try:
-            reply = client.call("GET", url, FETCH_LIMIT_US, headers={"Accept": messages.media_type(ptype)})
+            reply = client.call("GET", url, FETCH_TIMEOUT_US, headers={"Accept": messages.media_type(ptype)})
         except client.CallError as error:
             raise MetadataError(str(error)) from None
         if reply.status != 200:
@@ -82,26 +82,26 @@
             for url in urls:
                 self.documents.pop(url, None)
 
-    def resolve(self, index: str, url: str) -> list[dict[str, Any]]:
+    def resolve(self, index_url: str, url: str) -> list[dict[str, Any]]:
         """Return the generic metadata of a URL: of each type, the most specific level's."""
         parts = urlsplit(url)
-        host_index = self.get(index, messages.HOST_INDEX)
-        for match in _objects(host_index, "hosts"):
-            if str(match.get("host", "")).lower() in (parts.netloc.lower(), parts.hostname or ""):
-                level, at = self.follow(match.get("host-metadata"), messages.HOST_METADATA, index)
+        host_index = self.get(index_url, messages.HOST_INDEX)
+        for host in _read_objects(host_index, "hosts"):
+            if str(host.get("host", "")).lower() in (parts.netloc.lower(), parts.hostname or ""):
+                level, base_url = self.follow(host.get("host-metadata"), messages.HOST_METADATA, index_url)
                 break
         else:
             raise MetadataError(f"no metadata for host {parts.netloc}")
-        found: dict[str, dict[str, Any]] = {}
+        by_type: dict[str, dict[str, Any]] = {}
         for _ in range(MAX_DEPTH):
-            for generic in _objects(level, "metadata"):
-                found[str(generic.get("generic-metadata-type"))] = generic
-            for path in _objects(level, "paths"):
+            for generic in _read_objects(level, "metadata"):
+                by_type[str(generic.get("generic-metadata-type"))] = generic
+            for path in _read_objects(level, "paths"):
                 if matches(path.get("path-pattern"), parts.path or "/"):
-                    level, at = self.follow(path.get("path-metadata"), "MI.PathMetadata", at)
+                    level, base_url = self.follow(path.get("path-metadata"), "MI.PathMetadata", base_url)
                     break
             else:
-                return list(found.values())
+                return list(by_type.values())
         raise MetadataError("paths nested too deep")
 
     def follow(self, value: Any, ptype: str, base: str) -> tuple[dict[str, Any], str]:
@@ -117,19 +117,19 @@
 
 
 def _max_age_us(reply: client.Reply) -> int:
-    found = re.search(r"max-age=(\d{1,9})", reply.headers.get("cache-control", ""))
-    return min(LONGEST_MAX_AGE_US, int(found[1]) * 1_000_000) if found else DEFAULT_MAX_AGE_US
+    match = re.search(r"max-age=(\d{1,9})", reply.headers.get("cache-control", ""))
+    return min(MAX_AGE_LIMIT_US, int(match[1]) * 1_000_000) if match else DEFAULT_MAX_AGE_US
 
 
-def _objects(data: dict[str, Any], key: str) -> list[dict[str, Any]]:
+def _read_objects(data: dict[str, Any], key: str) -> list[dict[str, Any]]:
     value = data.get(key, [])
-    if not isinstance(value, list) or not all(isinstance(one, dict) for one in value):
+    if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         raise MetadataError(f"{key}: a list of objects is wanted")
     return value
 
 
 def matches(pattern: Any, path: str) -> bool:
-    """Return whether a PatternMatch fits: * any characters, ? one, $ quotes; mostly without case."""
+    """Return whether a PatternMatch applies: * any characters, ? one, $ quotes; mostly without case."""
     if not isinstance(pattern, dict) or not isinstance(pattern.get("pattern"), str):
         raise MetadataError("path-pattern: an object with a pattern is wanted")
     raw, glob, quoted = pattern["pattern"][: messages.MAX_TEXT_CHARACTERS], "", False
@@ -143,22 +143,24 @@
     return re.match(translate(glob), path, flags) is not None
 
 
-def check(
-    metadata: list[dict[str, Any]], client_ip: str, unix_s: float, protocol: str = "http/1.1"
+def check_delivery(
+    entries: list[dict[str, Any]], client_ip: str, unix_s: float, protocol: str = "http/1.1"
 ) -> int | None:
     """Return the group that metadata name, if any; raise where they do not admit a delivery now."""
     group = None
-    for generic in metadata:
+    for generic in entries:
         kind, value = generic.get("generic-metadata-type"), generic.get("generic-metadata-value")
         if not isinstance(value, dict):
             raise MetadataError(f"{kind}: a value is wanted")
         if kind == "MI.TimeWindowACL":
-            _acl(value, "times", lambda rule: _open_at(rule, unix_s), "outside the time windows")
+            _check_acl(value, "times", lambda rule: _in_time_window(rule, unix_s), "outside the time windows")
         elif kind == "MI.LocationACL":
-            _acl(value, "locations", lambda rule: _footprint(rule, client_ip), "not for this location")
+            _check_acl(
+                value, "locations", lambda rule: _in_footprint(rule, client_ip), "not for this location"
+            )
         elif kind == "MI.ProtocolACL":
             text = "not over this protocol"
-            _acl(value, "protocol-acl", lambda rule: protocol in rule.get("protocols", []), text, True)
+            _check_acl(value, "protocol-acl", lambda rule: protocol in rule.get("protocols", []), text, True)
         elif kind == "MI.Grouping":
             group = group_of_collection(str(value["ccid"])) if "ccid" in value else group
         elif kind != "MI.SourceMetadata" and generic.get("mandatory-to-enforce", True) is not False:
@@ -167,14 +169,18 @@
     return group
 
 
-def _acl(
-    value: dict[str, Any], key: str, fits: Callable[[dict[str, Any]], bool], text: str, protocol: bool = False
+def _check_acl(
+    value: dict[str, Any],
+    key: str,
+    applies: Callable[[dict[str, Any]], bool],
+    text: str,
+    protocol: bool = False,
 ) -> None:
-    """The first rule that fits decides; with none, a list that allows something denies the rest."""
-    rules = _objects(value, key)
+    """The first rule that applies decides; with none, a list that allows something denies the rest."""
+    rules = _read_objects(value, key)
     try:
         for rule in rules:
-            if fits(rule):
+            if applies(rule):
                 if rule.get("action", "deny") != "allow":
                     raise DeliveryDeniedError(text, protocol)
                 return
@@ -184,14 +190,14 @@
         raise DeliveryDeniedError(text, protocol)
 
 
-def _open_at(rule: dict[str, Any], unix_s: float) -> bool:
-    windows = _objects(rule, "windows")
+def _in_time_window(rule: dict[str, Any], unix_s: float) -> bool:
+    windows = _read_objects(rule, "windows")
     return any(float(w.get("start", 0)) <= unix_s <= float(w.get("end", 0)) for w in windows)
 
 
-def _footprint(rule: dict[str, Any], client_ip: str) -> bool:
-    for one in _objects(rule, "footprints"):
-        kind, values = one.get("footprint-type"), one.get("footprint-value", [])
+def _in_footprint(rule: dict[str, Any], client_ip: str) -> bool:
+    for footprint in _read_objects(rule, "footprints"):
+        kind, values = footprint.get("footprint-type"), footprint.get("footprint-value", [])
         if kind not in ("ipv4cidr", "ipv6cidr"):
             raise DeliveryDeniedError(f"footprint {kind} is not supported")
         if any(ip_address(client_ip) in ip_network(str(v), strict=False) for v in values):
@@ -216,13 +222,17 @@
     endpoint = urlsplit(conf.base).netloc
     return {
         "metadata": [
-            _generic("MI.SourceMetadata", {"sources": [{"endpoints": [endpoint], "protocol": "http/1.1"}]}),
-            _generic("MI.ProtocolACL", {"protocol-acl": [{"protocols": ["http/1.1"], "action": "allow"}]}),
-            _generic("MI.Grouping", {"ccid": str(host.group)}),
+            _generic_metadata(
+                "MI.SourceMetadata", {"sources": [{"endpoints": [endpoint], "protocol": "http/1.1"}]}
+            ),
+            _generic_metadata(
+                "MI.ProtocolACL", {"protocol-acl": [{"protocols": ["http/1.1"], "action": "allow"}]}
+            ),
+            _generic_metadata("MI.Grouping", {"ccid": str(host.group)}),
         ],
         "paths": [],
     }
 
 
-def _generic(kind: str, value: dict[str, Any]) -> dict[str, Any]:
+def _generic_metadata(kind: str, value: dict[str, Any]) -> dict[str, Any]:
     return {"generic-metadata-type": kind, "generic-metadata-value": value}
--- a/lupintack/fronts/cdni/redirection.py
+++ b/lupintack/fronts/cdni/redirection.py
@@ -18,7 +18,9 @@
 DOWNSTREAM_TIMEOUT_US = 300_000  # a downstream CDN that does not answer in this time is passed over
 DEFAULT_MAX_HOPS = 4  # allowed for a redirection that starts here
 
-NO_METADATA, LOOP, TOO_FAR, FULL, NO_PROTOCOL, NO_REDIRECTION = 501, 502, 503, 504, 505, 506
+# Error codes of RFC 7975
+METADATA_UNAVAILABLE, LOOP_DETECTED, MAX_HOPS_EXCEEDED = 501, 502, 503
+OUT_OF_CAPACITY, PROTOCOL_NOT_SUPPORTED, REDIRECTION_NOT_SUPPORTED = 504, 505, 506
 
 
 class RiError(Exception):
@@ -29,7 +31,7 @@
         super().__init__(text)
         self.code = code
 
-    def data(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Return the error in RFC 7975's form."""
         return {"error": {"error-code": self.code, "description": str(self)}}
 
@@ -39,7 +41,7 @@
     """A redirection request. `http`: its object as it came, which goes on to a downstream CDN."""
 
     cdn_path: list[str]
-    hops: int
+    max_hops: int
     http: dict[str, Any]
     method: str
     uri: str
@@ -59,28 +61,28 @@
 
     def answer(self, data: dict[str, Any]) -> dict[str, Any]:
         """Return the response to a request; raise RiError where there is none, HttpError for a bad one."""
-        request = self.read(data)
+        request = self.parse_request(data)
         content = self.locate(request)
         self.check_permitted(content, request)
-        if request.hops > len(request.cdn_path):
-            found = self.redirect_downstream(content, request.http, request.cdn_path, request.hops)
-            if found is not None:
-                return found
+        if request.max_hops > len(request.cdn_path):
+            response = self.redirect_downstream(content, request.http, request.cdn_path, request.max_hops)
+            if response is not None:
+                return response
         return self.redirect_here(request)
 
-    def read(self, data: dict[str, Any]) -> RedirectionRequest:
+    def parse_request(self, data: dict[str, Any]) -> RedirectionRequest:
         """Return a request's fields."""
         path = messages.read_texts(data, "cdn-path", messages.MAX_PATH_ITEMS)
-        hops = data.get("max-hops", DEFAULT_MAX_HOPS)
-        if not isinstance(hops, int) or isinstance(hops, bool) or hops < 0:
+        max_hops = data.get("max-hops", DEFAULT_MAX_HOPS)
+        if not isinstance(max_hops, int) or isinstance(max_hops, bool) or max_hops < 0:
             raise HttpError(400, "max-hops: a whole number is wanted")
         if ("dns" in data) == ("http" in data):
             raise HttpError(400, "one of dns and http is wanted")
         if self.conf.id in path:
             # Guards against a client sent round and round between CDNs.
-            raise RiError(LOOP, "loop detected")
+            raise RiError(LOOP_DETECTED, "loop detected")
         if "dns" in data:
-            raise RiError(NO_REDIRECTION, "DNS redirection is not supported")
+            raise RiError(REDIRECTION_NOT_SUPPORTED, "DNS redirection is not supported")
         http = data["http"]
         if not isinstance(http, dict):
             raise HttpError(400, "http: an object is wanted")
@@ -90,16 +92,16 @@
             ip_address(address)
         except ValueError:
             raise HttpError(400, "c-ip: an address is wanted") from None
-        return RedirectionRequest(path, hops, http, method, uri, version, address)
+        return RedirectionRequest(path, max_hops, http, method, uri, version, address)
 
     def locate(self, request: RedirectionRequest) -> Content:
         """Return the content that a request names; raise RiError where it is not delivered now."""
         if not request.cdn_path or request.cdn_path[-1] not in self.conf.upstreams:
             raise RiError(500, "the sender is no upstream CDN of this one")
         if urlsplit(request.uri).scheme != "http" or not request.version.startswith("HTTP/1"):
-            raise RiError(NO_PROTOCOL, "delivery protocol not supported")
+            raise RiError(PROTOCOL_NOT_SUPPORTED, "delivery protocol not supported")
         if not self.ready():
-            raise RiError(FULL, "out of capacity")
+            raise RiError(OUT_OF_CAPACITY, "out of capacity")
         content = self.conf.locate(request.uri)
         if content is None:
             raise RiError(500, "not this CDN's content")
@@ -111,11 +113,11 @@
     def check_permitted(self, content: Content, request: RedirectionRequest) -> None:
         """Raise RiError where the upstream's metadata forbids the delivery, or can't be had."""
         try:
-            self.delivery.group(content, request.uri, request.client_address)
+            self.delivery.resolve_group(content, request.uri, request.client_address)
         except metadata.MetadataError as error:
-            raise RiError(NO_METADATA, f"unable to retrieve metadata: {error}"[:300]) from None
+            raise RiError(METADATA_UNAVAILABLE, f"unable to retrieve metadata: {error}"[:300]) from None
         except metadata.DeliveryDeniedError as error:
-            raise RiError(NO_PROTOCOL if error.protocol else 500, str(error)) from None
+            raise RiError(PROTOCOL_NOT_SUPPORTED if error.protocol else 500, str(error)) from None
 
     def redirect_here(self, request: RedirectionRequest) -> dict[str, Any]:
         """Return the response that sends the client to this CDN."""
@@ -135,7 +137,7 @@
         }
 
     def redirect_downstream(
-        self, content: Content, http: dict[str, Any], path: list[str], hops: int
+        self, content: Content, http: dict[str, Any], path: list[str], max_hops: int
     ) -> dict[str, Any] | None:
         """Return the redirection of the content's downstream CDN; None where that does not deliver.
 
@@ -146,7 +148,7 @@
             return None
         if self.delivery.core.settings.classes[content.class_index].is_write:
             return None
-        body = {"cdn-path": [*path, self.conf.id], "max-hops": hops, "http": http}
+        body = {"cdn-path": [*path, self.conf.id], "max-hops": max_hops, "http": http}
         headers = {
             "Content-Type": messages.media_type(messages.RI_REQUEST),
             "Accept": messages.media_type(messages.RI_RESPONSE),
--- a/lupintack/fronts/cdni/triggers.py
+++ b/lupintack/fronts/cdni/triggers.py
@@ -20,17 +20,17 @@
 from lupintack.logs import fields
 
 LOG = logging.getLogger("triggers")
-TYPES = ("preposition", "invalidate", "purge")
+TRIGGER_TYPES = ("preposition", "invalidate", "purge")
 SELECTORS = ("metadata.urls", "content.urls", "content.ccid", "metadata.patterns", "content.patterns")
 MAX_RESOURCES = 1000  # status resources kept
-STALE_S = 3600  # a finished one is removed after this long
+STALE_RESOURCE_S = 3600  # a finished one is removed after this long
 PURGE_TIMEOUT_S = 2.0  # a purge that does not hold by then has failed
 DOWNSTREAM_CALL_TIMEOUT_US = 2_000_000  # one call to a downstream CDN
 DOWNSTREAM_END_TIMEOUT_S = 10.0  # until it must report the end
-POLL_S = 0.1
-WORKERS = 2
-FINAL = ("complete", "processed", "failed", "cancelled")
-FILTERS = {
+POLL_INTERVAL_S = 0.1
+WORKER_COUNT = 2
+FINAL_STATUSES = ("complete", "processed", "failed", "cancelled")
+STATUS_FILTERS = {
     "pending": ("pending",),
     "active": ("active", "cancelling"),
     "complete": ("complete", "processed"),
@@ -44,7 +44,7 @@
 
     number: int
     spec: dict[str, Any]
-    path: list[str]
+    cdn_path: list[str]
     owner: str
     created: int
     changed: int = 0
@@ -52,7 +52,7 @@
     errors: list[dict[str, Any]] = field(default_factory=list)
     cancelled: threading.Event = field(default_factory=threading.Event)
 
-    def data(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Return the resource in RFC 8007's form."""
         fields = {"trigger": self.spec, "ctime": self.created, "mtime": self.changed, "status": self.status}
         return {**fields, "errors": self.errors} if self.errors else fields
@@ -72,11 +72,11 @@
         self.lock = threading.Lock()
         self.resources: OrderedDict[int, Resource] = OrderedDict()
         self.last_number = 0
-        self.mailbox: SimpleQueue[Resource] = SimpleQueue()
+        self.queue: SimpleQueue[Resource] = SimpleQueue()
 
     # What the front calls
 
-    def command(self, data: dict[str, Any]) -> Resource | None:
+    def handle_command(self, data: dict[str, Any]) -> Resource | None:
         """Return the resource of a new trigger, or None for a command that cancels others."""
         path = messages.read_texts(data, "cdn-path", messages.MAX_PATH_ITEMS)
         if not path:
@@ -99,9 +99,9 @@
         """Create a resource and queue it for a worker; raise HttpError where too many are under way."""
         now = int(time.time())
         with self.lock:
-            for number, old in list(self.resources.items()):
-                if old.status in FINAL and (
-                    old.changed < now - STALE_S or len(self.resources) >= MAX_RESOURCES
+            for number, existing in list(self.resources.items()):
+                if existing.status in FINAL_STATUSES and (
+                    existing.changed < now - STALE_RESOURCE_S or len(self.resources) >= MAX_RESOURCES
                 ):
                     del self.resources[number]
             if len(self.resources) >= MAX_RESOURCES:
@@ -109,31 +109,31 @@
             self.last_number += 1
             resource = Resource(self.last_number, spec, path, path[-1], now, now)
             self.resources[resource.number] = resource
-        self.mailbox.put(resource)
+        self.queue.put(resource)
         return resource
 
     def cancel(self, urls: list[str], owner: str) -> None:
         """Cancel triggers that have not ended; an unknown one fails the whole command."""
-        found = [self.by_url(url) for url in urls]
-        for one in found:
-            if one.owner != owner:
+        resources = [self.find_by_url(url) for url in urls]
+        for resource in resources:
+            if resource.owner != owner:
                 raise HttpError(403, "another CDN's trigger")
-        for one in found:
+        for resource in resources:
             with self.lock:
-                one.cancelled.set()
-                if one.status == "active":
-                    one.status, one.changed = "cancelling", int(time.time())
-                elif one.status == "pending":
-                    self._end(one, "cancelled")
+                resource.cancelled.set()
+                if resource.status == "active":
+                    resource.status, resource.changed = "cancelling", int(time.time())
+                elif resource.status == "pending":
+                    self._finish(resource, "cancelled")
 
-    def by_url(self, url: str) -> Resource:
+    def find_by_url(self, url: str) -> Resource:
         """Return the resource at a URL; raise HttpError where there is none."""
         number = url.rsplit("/", 1)[-1]
         with self.lock:
-            found = self.resources.get(int(number)) if number.isascii() and number.isdigit() else None
-        if found is None or url != self.url(found):
+            resource = self.resources.get(int(number)) if number.isascii() and number.isdigit() else None
+        if resource is None or url != self.url(resource):
             raise HttpError(404, "no such trigger")
-        return found
+        return resource
 
     def url(self, resource: Resource) -> str:
         """Return the URL of a resource."""
@@ -145,15 +145,15 @@
             resource.cancelled.set()
             self.resources.pop(resource.number, None)
 
-    def listing(self, name: str) -> dict[str, Any]:
+    def collection(self, name: str) -> dict[str, Any]:
         """Return a collection, whole or filtered."""
         with self.lock:
-            statuses = FILTERS.get(name)
+            statuses = STATUS_FILTERS.get(name)
             urls = [self.url(r) for r in self.resources.values() if statuses is None or r.status in statuses]
-        data: dict[str, Any] = {"triggers": urls, "staleresourcetime": STALE_S}
+        data: dict[str, Any] = {"triggers": urls, "staleresourcetime": STALE_RESOURCE_S}
         if statuses is None:
             data["coll-all"] = f"{self.conf.base}/triggers"
-            data |= {f"coll-{one}": f"{self.conf.base}/triggers/{one}" for one in FILTERS}
+            data |= {f"coll-{status}": f"{self.conf.base}/triggers/{status}" for status in STATUS_FILTERS}
             data["cdn-id"] = self.conf.id
         return data
 
@@ -162,7 +162,7 @@
     def run(self) -> None:
         """Execute triggers for good; the whole life of a worker."""
         while True:
-            self.execute(self.mailbox.get())
+            self.execute(self.queue.get())
 
     def execute(self, resource: Resource) -> None:
         """Execute a trigger here and at the downstream CDNs, and note how it ended."""
@@ -172,31 +172,34 @@
             resource.status, resource.changed = "active", int(time.time())
         errors: list[dict[str, Any]] = []
         try:
-            self.execute_here(resource, errors)
+            self.execute_locally(resource, errors)
             for downstream in self.conf.downstreams.values():
                 if downstream.triggers and not resource.cancelled.is_set():
                     self.forward(resource, downstream, errors)
         except Exception as error:  # a worker must outlive one bad trigger, and its sender must hear of it
             LOG.exception("trigger failed", extra=fields(number=resource.number))
-            errors.append(problem("ecdn", str(error)))
+            errors.append(error_description("ecdn", str(error)))
         with self.lock:
             resource.errors = errors
             if resource.cancelled.is_set():
-                self._end(resource, "cancelled")
+                self._finish(resource, "cancelled")
             else:
-                self._end(resource, "failed" if errors else "complete")
+                self._finish(resource, "failed" if errors else "complete")
 
-    def _end(self, resource: Resource, status: str) -> None:
+    def _finish(self, resource: Resource, status: str) -> None:
         resource.status, resource.changed = status, int(time.time())
         if status == "cancelled":
-            resource.errors = [*resource.errors, problem("ecancelled", "cancelled by the upstream CDN")]
+            resource.errors = [
+                *resource.errors,
+                error_description("ecancelled", "cancelled by the upstream CDN"),
+            ]
 
-    def execute_here(self, resource: Resource, errors: list[dict[str, Any]]) -> None:
+    def execute_locally(self, resource: Resource, errors: list[dict[str, Any]]) -> None:
         """Execute a trigger in this CDN."""
         spec = resource.spec
         for key in SELECTORS[3:]:
             if spec.get(key):
-                errors.append(problem("ereject", "patterns are not supported", key, spec[key]))
+                errors.append(error_description("ereject", "patterns are not supported", key, spec[key]))
         if spec["type"] == "preposition":
             self.preposition(resource, errors)
             return
@@ -206,7 +209,7 @@
         for url in messages.read_texts(spec, "content.urls"):
             content = self.conf.locate(url)
             if content is None or content.host.upstream not in ("", resource.owner):
-                errors.append(problem("eperm", "not this CDN's content", "content.urls", [url]))
+                errors.append(error_description("eperm", "not this CDN's content", "content.urls", [url]))
                 continue
             in_force = threading.Event()
             self.member_table.purge(int(content.item, 16), 0, None, in_force.set)
@@ -215,11 +218,11 @@
             in_force = threading.Event()
             self.member_table.purge(None, group_of_collection(ccid), None, in_force.set)
             waits.append((in_force, "content.ccid", ccid))
-        until = now_us() + int(PURGE_TIMEOUT_S * 1e6)
+        deadline_us = now_us() + int(PURGE_TIMEOUT_S * 1e6)
         for in_force, key, value in waits:
             # Complete is said only once the purge holds for every attempt from here on.
-            if not in_force.wait(max(0.0, (until - now_us()) / 1e6)):
-                errors.append(problem("ecdn", "the purge does not hold yet", key, [value]))
+            if not in_force.wait(max(0.0, (deadline_us - now_us()) / 1e6)):
+                errors.append(error_description("ecdn", "the purge does not hold yet", key, [value]))
 
     def preposition(self, resource: Resource, errors: list[dict[str, Any]]) -> None:
         """Fetch metadata, and have the caches fetch content."""
@@ -228,10 +231,10 @@
                 self.store.drop([url])
                 self.store.get(url, messages.HOST_INDEX)
             except metadata.MetadataError as error:
-                errors.append(problem("emeta", str(error), "metadata.urls", [url]))
+                errors.append(error_description("emeta", str(error), "metadata.urls", [url]))
         if resource.spec.get("content.ccid"):
             errors.append(
-                problem(
+                error_description(
                     "ereject", "a collection can't be listed", "content.ccid", resource.spec["content.ccid"]
                 )
             )
@@ -240,17 +243,17 @@
                 return
             content = self.conf.locate(url)
             if content is None or content.host.upstream not in ("", resource.owner):
-                errors.append(problem("eperm", "not this CDN's content", "content.urls", [url]))
+                errors.append(error_description("eperm", "not this CDN's content", "content.urls", [url]))
             elif self.delivery.core.settings.classes[content.class_index].is_write:
-                errors.append(problem("ereject", "this class is never kept", "content.urls", [url]))
+                errors.append(error_description("ereject", "this class is never kept", "content.urls", [url]))
             elif not self.delivery.fetch(content, content.group):
-                errors.append(problem("econtent", "could not be fetched", "content.urls", [url]))
+                errors.append(error_description("econtent", "could not be fetched", "content.urls", [url]))
 
     def forward(self, resource: Resource, downstream: Downstream, errors: list[dict[str, Any]]) -> None:
         """Send the same command to a downstream CDN, and wait for its end."""
-        if downstream.id in resource.path:
+        if downstream.id in resource.cdn_path:
             return  # it came from there
-        body = json.dumps({"trigger": resource.spec, "cdn-path": [*resource.path, self.conf.id]}).encode()
+        body = json.dumps({"trigger": resource.spec, "cdn-path": [*resource.cdn_path, self.conf.id]}).encode()
         headers = {
             "Content-Type": messages.media_type(messages.COMMAND),
             "Accept": messages.media_type(messages.STATUS),
@@ -260,9 +263,12 @@
             if reply.status != 201 or not reply.headers.get("location"):
                 raise client.CallError(f"status {reply.status}")
             url = reply.location(downstream.triggers)
-            state, until = messages.parse_object(reply.body), now_us() + int(DOWNSTREAM_END_TIMEOUT_S * 1e6)
-            while state.get("status") not in FINAL:
-                if now_us() > until or resource.cancelled.wait(POLL_S):
+            state, deadline_us = (
+                messages.parse_object(reply.body),
+                now_us() + int(DOWNSTREAM_END_TIMEOUT_S * 1e6),
+            )
+            while state.get("status") not in FINAL_STATUSES:
+                if now_us() > deadline_us or resource.cancelled.wait(POLL_INTERVAL_S):
                     raise client.CallError("no end in time")
                 reply = client.call(
                     "GET", url, DOWNSTREAM_CALL_TIMEOUT_US, headers={"Accept": headers["Accept"]}
@@ -271,15 +277,15 @@
             if state["status"] not in ("complete", "processed"):
                 raise client.CallError(f"ended as {state['status']}")
         except (client.CallError, HttpError) as error:
-            errors.append({**problem("ecdn", str(error)), "cdn": downstream.id})
+            errors.append({**error_description("ecdn", str(error)), "cdn": downstream.id})
 
 
 def check_spec(spec: Any) -> None:
     """Raise HttpError for a trigger specification that is not one of RFC 8007's."""
     if not isinstance(spec, dict):
         raise HttpError(400, "trigger: an object is wanted")
-    if messages.read_text(spec, "type") not in TYPES:
-        raise HttpError(400, f"type: one of {', '.join(TYPES)} is wanted")
+    if messages.read_text(spec, "type") not in TRIGGER_TYPES:
+        raise HttpError(400, f"type: one of {', '.join(TRIGGER_TYPES)} is wanted")
     if not any(spec.get(key) for key in SELECTORS):
         raise HttpError(400, f"one of {', '.join(SELECTORS)} is wanted")
     for key in SELECTORS[:3]:
@@ -289,6 +295,6 @@
             raise HttpError(400, f"{key}: a list of {messages.MAX_LIST_ITEMS} patterns at most is wanted")
 
 
-def problem(code: str, text: str, key: str = "", values: list[Any] | None = None) -> dict[str, Any]:
+def error_description(code: str, text: str, key: str = "", values: list[Any] | None = None) -> dict[str, Any]:
     """Return an Error Description."""
     return {"error": code, "description": text[:200]} | ({key: values} if key and values else {})
--- a/tests/test_client_disconnection.py
+++ b/tests/test_client_disconnection.py
@@ -222,7 +222,7 @@
             return content.group
 
         with (
-            unittest.mock.patch.object(Delivery, "group", delayed),
+            unittest.mock.patch.object(Delivery, "resolve_group", delayed),
             site(cdni_listen="127.0.0.1:0") as running_site,
         ):
             app = App(running_site.node.http2[1].sock.getsockname())
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -429,8 +429,8 @@
         for case in CDNI["cases"]:
             del core.taken[:], calls[:], members.purges[:]
             found = as_text(response(port, as_bytes(case["request"])))
-            while not front.triggers.mailbox.empty():
-                front.triggers.execute(front.triggers.mailbox.get())
+            while not front.triggers.queue.empty():
+                front.triggers.execute(front.triggers.queue.get())
             for request in core.taken:
                 request.pop("wait_us", None)
                 if "preposition" in case["name"]:
