--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -96,8 +96,8 @@
         item = path.rsplit("/", 1)[1]
         if not OBJECT_ID.fullmatch(item):
             item = hashlib.blake2b(f"{host.name}{path}".encode(), digest_size=8).hexdigest()
-        content_path = max(matching, key=lambda p: len(p.prefix))
-        return Content(content_path.class_index, item, int(nth), host.group, host)
+        longest_match = max(matching, key=lambda p: len(p.prefix))
+        return Content(longest_match.class_index, item, int(nth), host.group, host)
 
 
 def group_of_collection(ccid: str) -> int:
--- a/lupintack/peers/connection.py
+++ b/lupintack/peers/connection.py
@@ -83,7 +83,7 @@
         self.health_check_sent_us = 0  # until something is received
         self.health_check_failed = False
         self.is_yielding = False  # to be closed for another member's first connection
-        self.is_leaving = False  # its member has closed it
+        self.is_closing = False  # its member has closed it
 
     def is_open(self) -> bool:
         """Return whether it is connected and has not ended."""
@@ -91,7 +91,7 @@
 
     def is_reusable(self) -> bool:
         """Return whether nobody has begun to close it."""
-        return not (self.is_yielding or self.is_leaving)
+        return not (self.is_yielding or self.is_closing)
 
     def is_closed_by_member(self) -> bool:
         """Return whether the member has closed or reset it, seen by its thread or not."""
@@ -113,7 +113,7 @@
         """Return whether an attempt may be written now, but for the bound on open ones."""
         return self.is_open() and not self.backlog and self.is_reusable()
 
-    def has_used(self, wire_id: str) -> bool:
+    def may_receive_answer(self, wire_id: str) -> bool:
         """Return whether an answer to an earlier attempt with this id may still come."""
         return wire_id in self.open_attempts or wire_id in self.cancelled_ids or wire_id in self.abandoned_ids
 
--- a/lupintack/peers/connection_pool.py
+++ b/lupintack/peers/connection_pool.py
@@ -42,11 +42,11 @@
         written there must count as run, and a request that is not idempotent would be lost.
         """
         while True:
-            found = self.least_loaded(wire_id, allow_suspected)
-            if found is None or not found.is_closed_by_member():
-                return found
-            found.close()
-            found.is_leaving = True
+            connection = self.least_loaded(wire_id, allow_suspected)
+            if connection is None or not connection.is_closed_by_member():
+                return connection
+            connection.close()
+            connection.is_closing = True
 
     def least_loaded(self, wire_id: str, allow_suspected: bool) -> Connection | None:
         """Return the connection with the fewest attempts, as far as their threads have seen."""
@@ -61,7 +61,7 @@
             if load >= lowest_load or not connection.accepts_attempts():
                 continue
             # Guards against a late answer to a cancelled attempt being read as this one's: same id.
-            if connection.has_used(wire_id):
+            if connection.may_receive_answer(wire_id):
                 continue
             best, lowest_load = connection, load
             if not load:
--- a/lupintack/peers/connection_quota.py
+++ b/lupintack/peers/connection_quota.py
@@ -62,11 +62,11 @@
                 return False
             if connection.peer not in self.waiting_peers:
                 self.waiting_peers.append(connection.peer)
-            oldest = self._longest_idle(connection.peer)
-            if oldest is not None:
-                oldest.is_yielding = True
-        if oldest is not None:
-            oldest.peer.enqueue(YieldConnection(oldest))
+            longest_idle = self._longest_idle(connection.peer)
+            if longest_idle is not None:
+                longest_idle.is_yielding = True
+        if longest_idle is not None:
+            longest_idle.peer.enqueue(YieldConnection(longest_idle))
         return False
 
     def release(self, connection: QuotaConnection) -> None:
--- a/lupintack/peers/platform_wire.py
+++ b/lupintack/peers/platform_wire.py
@@ -31,7 +31,7 @@
 ANSWER_STRINGS = 4
 HEALTH_CHECK_ANSWER_STRINGS = (2, 4)
 HEALTH_CHECK_WORDS = (b"yes", b"no")
-MAX_SHOWN = 200  # characters of an answer in an error's text
+MAX_ERROR_TEXT_CHARACTERS = 200  # characters of an answer in an error's text
 
 WIRE_ID = re.compile(rb"[0-9a-f]{16}")
 HEALTH_CHECK_TAG = re.compile(rb"\d{1,20}")
@@ -44,7 +44,7 @@
 
     def __init__(self, field: str, value: object, expected: str) -> None:
         """Name the field, its value and what is expected there."""
-        super().__init__(f"field {field!r} is not {expected}: {value!r}"[:MAX_SHOWN])
+        super().__init__(f"field {field!r} is not {expected}: {value!r}"[:MAX_ERROR_TEXT_CHARACTERS])
         self.field = field
         self.value = value
 
@@ -62,10 +62,12 @@
         return "+".join(word for word, is_on in words if is_on)
 
 
-_BOTH = (False, True)
+_BOOLEANS = (False, True)
 ENCODED_FLAGS: dict[tuple[bool, bool, bool], str] = {
     flags: flags.encode()
-    for flags in (Flags(first, second, third) for first in _BOTH for second in _BOTH for third in _BOTH)
+    for flags in (
+        Flags(first, second, third) for first in _BOOLEANS for second in _BOOLEANS for third in _BOOLEANS
+    )
 }
 
 
@@ -116,7 +118,7 @@
         raise FrameError(f"an answer of {bytes(parts[1][:16])!r}")
     fields = resp.parse_fields(parts[2])
     if not FIELD_NAMES.issuperset(fields):
-        raise FrameError(f"fields of {sorted(fields)!r}"[:MAX_SHOWN])
+        raise FrameError(f"fields of {sorted(fields)!r}"[:MAX_ERROR_TEXT_CHARACTERS])
     tag, issued_ms = parse_copy(fields)
     needs_copy = status in STATUSES_WITH_COPY and not request.is_write
     if needs_copy and not (tag and issued_ms and clock.observe(issued_ms * 1000, now_us())):
--- a/lupintack/peers/resp.py
+++ b/lupintack/peers/resp.py
@@ -12,7 +12,7 @@
 MAX_TEXT_BYTES = 8192  # id, word or fields
 MAX_BODY_BYTES = 240_000
 MAX_STRINGS = 8
-TEXT_STRINGS = 3  # the first so many strings of an array are texts, those behind them bodies
+LEADING_TEXT_STRINGS = 3  # the first so many strings of an array are texts, those behind them bodies
 READ_BYTES = 65536
 STALL_TIMEOUT_S = 0.5  # an array that has begun and brings nothing more for so long has stopped short
 LINE_END = b"\r\n"
@@ -56,7 +56,7 @@
         count = self.read_length(b"*", MAX_STRINGS)
         self.in_array = True
         return [
-            self.read_string(MAX_BODY_BYTES if index >= TEXT_STRINGS else MAX_TEXT_BYTES)
+            self.read_string(MAX_BODY_BYTES if index >= LEADING_TEXT_STRINGS else MAX_TEXT_BYTES)
             for index in range(count)
         ]
 
--- a/lupintack/simulator_adapter.py
+++ b/lupintack/simulator_adapter.py
@@ -22,26 +22,26 @@
         self.decoder = simulator_wire.Decoder()
         self.routers: dict[int, Router] = {}
 
-    def reply(self, body: bytes, count: int, now_ms: float) -> bytes:
+    def handle_batch(self, body: bytes, count: int, now_ms: float) -> bytes:
         """Hand each instance its events, run by run, and return the encoded actions."""
         replies: list[tuple[int, list[Action | InstanceFailed]]] = []
         batch: list[Event] = []
-        current = -1
+        current_instance = -1
         for instance, event in self.decoder.events(body, count):
-            if instance != current or isinstance(event, (InstanceStarted, InstanceStopped)):
-                replies += self._handle(current, now_ms, batch)
+            if instance != current_instance or isinstance(event, (InstanceStarted, InstanceStopped)):
+                replies += self._handle_events(current_instance, now_ms, batch)
                 batch = []
-                current = instance
+                current_instance = instance
             if isinstance(event, InstanceStarted):
                 self.routers[instance] = Router(read_settings(event.settings), event.seed)
             elif isinstance(event, InstanceStopped):
                 self.routers.pop(instance, None)
             else:
                 batch.append(event)
-        replies += self._handle(current, now_ms, batch)
+        replies += self._handle_events(current_instance, now_ms, batch)
         return simulator_wire.encode(replies)
 
-    def _handle(
+    def _handle_events(
         self, instance: int, now_ms: float, events: list[Event]
     ) -> list[tuple[int, list[Action | InstanceFailed]]]:
         """Return an instance's actions, or that it failed; events for an unknown instance are dropped."""
@@ -66,7 +66,7 @@
         body = source.read(length)
         if len(body) < length:
             raise SimulatorWireError("the input ends inside a frame")
-        sink.write(instances.reply(body, count, now_ms))
+        sink.write(instances.handle_batch(body, count, now_ms))
         sink.flush()
 
 
--- a/lupintack/simulator_wire.py
+++ b/lupintack/simulator_wire.py
@@ -67,43 +67,43 @@
 
     def events(self, body: bytes, count: int) -> Iterator[tuple[int, InstanceEvent]]:
         """Yield (instance, event) for each record of a batch; SimulatorWireError for a bad one."""
-        tail_at = count * EVENT_SIZE
-        if tail_at > len(body):
+        tail_start = count * EVENT_SIZE
+        if tail_start > len(body):
             raise SimulatorWireError(f"{count} records do not fit in {len(body)} bytes")
         instance = -1
-        for at in range(0, tail_at, EVENT_SIZE):
-            code = body[at]
+        for position in range(0, tail_start, EVENT_SIZE):
+            code = body[position]
             if code == _INSTANCE_CODE:
-                (instance,) = _INSTANCE.unpack_from(body, at + 1)
+                (instance,) = _INSTANCE.unpack_from(body, position + 1)
             elif code == _LIST_ENTRIES_CODE:
-                self._read_list(body, at + 1, tail_at)
+                self._read_list(body, position + 1, tail_start)
             elif instance < 0:
                 raise SimulatorWireError("a record before the instance that it is for")
             else:
-                yield instance, self._event(code, body, at + 1, tail_at)
+                yield instance, self._event(code, body, position + 1, tail_start)
 
-    def _read_list(self, body: bytes, at: int, tail_at: int) -> None:
-        number, offset, entries = _LIST_ENTRIES.unpack_from(body, at)
+    def _read_list(self, body: bytes, position: int, tail_start: int) -> None:
+        number, offset, entries = _LIST_ENTRIES.unpack_from(body, position)
         if number > _MAX_LIST_NUMBER:
             raise SimulatorWireError(f"list number {number} out of range")
-        raw = _slice(body, tail_at, offset, entries * LIST_ENTRY.size)
+        raw = _slice(body, tail_start, offset, entries * LIST_ENTRY.size)
         self.lists[number] = tuple(_member(raw, n) for n in range(0, len(raw), LIST_ENTRY.size))
 
-    def _event(self, code: int, body: bytes, at: int, tail_at: int) -> InstanceEvent:
+    def _event(self, code: int, body: bytes, position: int, tail_start: int) -> InstanceEvent:
         try:
             if code == _MEMBER_LIST_CODE:
-                return self._member_list(body, at)
-            reader = _READERS.get(code)
+                return self._member_list(body, position)
+            reader = _EVENT_READERS.get(code)
             if reader is not None:
-                return reader(body, at, tail_at)
+                return reader(body, position, tail_start)
         except SimulatorWireError:
             raise
         except ValueError as error:
             raise SimulatorWireError(f"event {code}: {error}") from None
         raise SimulatorWireError(f"unknown event code {code}")
 
-    def _member_list(self, body: bytes, at: int) -> i.MemberList:
-        kind, version, number = _MEMBER_LIST.unpack_from(body, at)
+    def _member_list(self, body: bytes, position: int) -> i.MemberList:
+        kind, version, number = _MEMBER_LIST.unpack_from(body, position)
         if kind == i.ListKind.FAILED:
             return i.MemberList(i.ListKind.FAILED)
         if number not in self.lists:
@@ -111,17 +111,17 @@
         return i.MemberList(i.ListKind(kind), self.lists[number], version)
 
 
-def _instance_started(body: bytes, at: int, tail_at: int) -> InstanceStarted:
-    seed, offset, length = _INSTANCE_STARTED.unpack_from(body, at)
-    return InstanceStarted(seed, _slice(body, tail_at, offset, length))
+def _instance_started(body: bytes, position: int, tail_start: int) -> InstanceStarted:
+    seed, offset, length = _INSTANCE_STARTED.unpack_from(body, position)
+    return InstanceStarted(seed, _slice(body, tail_start, offset, length))
 
 
-def _instance_stopped(body: bytes, at: int, tail_at: int) -> InstanceStopped:
+def _instance_stopped(body: bytes, position: int, tail_start: int) -> InstanceStopped:
     return InstanceStopped()
 
 
-def _request(body: bytes, at: int, tail_at: int) -> i.Request:
-    request, cls, tenant, object_id, deadline, size, group, part, flags = _REQUEST.unpack_from(body, at)
+def _request(body: bytes, position: int, tail_start: int) -> i.Request:
+    request, cls, tenant, object_id, deadline, size, group, part, flags = _REQUEST.unpack_from(body, position)
     return i.Request(
         request,
         cls,
@@ -136,14 +136,14 @@
     )
 
 
-def _attempt_started(body: bytes, at: int, tail_at: int) -> i.AttemptStarted:
-    request, attempt, host, port, elapsed = _ATTEMPT_STARTED.unpack_from(body, at)
+def _attempt_started(body: bytes, position: int, tail_start: int) -> i.AttemptStarted:
+    request, attempt, host, port, elapsed = _ATTEMPT_STARTED.unpack_from(body, position)
     return i.AttemptStarted(request, attempt, host << 16 | port, elapsed)
 
 
-def _attempt_ended(body: bytes, at: int, tail_at: int) -> i.AttemptEnded:
+def _attempt_ended(body: bytes, position: int, tail_start: int) -> i.AttemptEnded:
     request, attempt, host, port, outcome, elapsed, final, status, fill_wait, count, *load = (
-        _ATTEMPT_ENDED.unpack_from(body, at)
+        _ATTEMPT_ENDED.unpack_from(body, position)
     )
     return i.AttemptEnded(
         request,
@@ -158,30 +158,30 @@
     )
 
 
-def _client_disconnected(body: bytes, at: int, tail_at: int) -> i.ClientDisconnected:
-    return i.ClientDisconnected(int.from_bytes(body[at : at + 4], "big"))
+def _client_disconnected(body: bytes, position: int, tail_start: int) -> i.ClientDisconnected:
+    return i.ClientDisconnected(int.from_bytes(body[position : position + 4], "big"))
 
 
-def _timer_fired(body: bytes, at: int, tail_at: int) -> i.TimerFired:
-    return i.TimerFired(int.from_bytes(body[at : at + 8], "big"))
+def _timer_fired(body: bytes, position: int, tail_start: int) -> i.TimerFired:
+    return i.TimerFired(int.from_bytes(body[position : position + 8], "big"))
 
 
-def _health_check_ended(body: bytes, at: int, tail_at: int) -> i.HealthCheckEnded:
-    host, port, outcome, elapsed, count, *load = _HEALTH_CHECK_ENDED.unpack_from(body, at)
+def _health_check_ended(body: bytes, position: int, tail_start: int) -> i.HealthCheckEnded:
+    host, port, outcome, elapsed, count, *load = _HEALTH_CHECK_ENDED.unpack_from(body, position)
     report = _load_report(count, tuple(load))
     return i.HealthCheckEnded(host << 16 | port, i.Outcome(outcome), elapsed, report)
 
 
-def _peer_message(body: bytes, at: int, tail_at: int) -> i.PeerMessage:
-    sender, offset, length = _PEER_MESSAGE.unpack_from(body, at)
-    return i.PeerMessage(sender, _slice(body, tail_at, offset, length))
+def _peer_message(body: bytes, position: int, tail_start: int) -> i.PeerMessage:
+    sender, offset, length = _PEER_MESSAGE.unpack_from(body, position)
+    return i.PeerMessage(sender, _slice(body, tail_start, offset, length))
 
 
-def _purged(body: bytes, at: int, tail_at: int) -> i.Purged:
-    return i.Purged(*_PURGED.unpack_from(body, at))
+def _purged(body: bytes, position: int, tail_start: int) -> i.Purged:
+    return i.Purged(*_PURGED.unpack_from(body, position))
 
 
-_READERS: dict[int, Callable[[bytes, int, int], InstanceEvent]] = {
+_EVENT_READERS: dict[int, Callable[[bytes, int, int], InstanceEvent]] = {
     1: _instance_started,
     3: _request,
     4: _attempt_started,
@@ -196,15 +196,15 @@
 """By the code of an event's record: a function of the batch, the record's place and the tail's."""
 
 
-def _slice(body: bytes, tail_at: int, offset: int, length: int) -> bytes:
-    start = tail_at + offset
+def _slice(body: bytes, tail_start: int, offset: int, length: int) -> bytes:
+    start = tail_start + offset
     if start + length > len(body):
         raise SimulatorWireError(f"tail field at {offset}, length {length}, runs past the frame")
     return body[start : start + length]
 
 
-def _member(raw: bytes, at: int) -> i.Member:
-    host, port, zone, kind, cell, state, size, started = LIST_ENTRY.unpack_from(raw, at)
+def _member(raw: bytes, position: int) -> i.Member:
+    host, port, zone, kind, cell, state, size, started = LIST_ENTRY.unpack_from(raw, position)
     try:
         return i.Member(host << 16 | port, zone, kind, cell, i.MemberState(state), size, started)
     except ValueError as error:
@@ -228,12 +228,12 @@
     for instance, actions in batches:
         if actions:
             records.append(struct.pack(">BH", _INSTANCE_ACTIONS, instance))
-            records.extend(_record(action, tail) for action in actions)
+            records.extend(_encode_action(action, tail) for action in actions)
     body = b"".join(record.ljust(ACTION_SIZE, b"\0") for record in records) + bytes(tail)
     return struct.pack(">II", len(body), len(records)) + body
 
 
-def _record(action: i.Action | InstanceFailed, tail: bytearray) -> bytes:
+def _encode_action(action: i.Action | InstanceFailed, tail: bytearray) -> bytes:
     """Return an action's record; a text goes to the tail. Raises TypeError for what the wire doesn't have."""
     match action:
         case i.Fetch():
