--- a/lupintack/fronts/cdni/client.py
+++ b/lupintack/fronts/cdni/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for messages to other CDNs: one call for each connection, with one time limit."""
+"""Minimal HTTP/1.1 client for calls to other CDNs: one call per connection, with a single time-out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CallError(Exception):
-    """No usable answer came."""
+    """The call got no usable answer."""
 
 
 @dataclass(slots=True)
@@ -30,14 +30,14 @@
     body: bytes
 
     def location(self, url: str) -> str:
-        """Return the URL of the Location field."""
+        """Return the absolute URL of the Location field; `url`: the one that was called."""
         return urljoin(url, self.headers.get("location", ""))
 
 
 def call(
     method: str, url: str, timeout_us: int, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Reply:
-    """Make one call; raise CallError for a refused connection, a time-out and an unreadable answer."""
+    """Make one call; raise CallError if the connection fails, the call times out or the answer is invalid."""
     deadline_us = now_us() + timeout_us
     try:
         parts = urlsplit(url)
@@ -65,7 +65,7 @@
         self.buffer = bytearray()
 
     def receive(self) -> bool:
-        """Wait for bytes; return False at the end of the connection, raise TimeoutError at the deadline."""
+        """Wait for data; return False at the end of the stream, raise TimeoutError at the deadline."""
         remaining_us = self.deadline_us - now_us()
         if remaining_us <= 0:
             raise TimeoutError("no answer in time")
@@ -75,7 +75,7 @@
         return bool(data)
 
     def read_head(self) -> tuple[int, dict[str, str]]:
-        """Return status and header fields."""
+        """Return the status and the header fields; raise CallError for an invalid head."""
         while (end := self.buffer.find(HEAD_END)) < 0:
             if len(self.buffer) > MAX_HEAD_BYTES or not self.receive():
                 raise CallError("an answer without a head")
@@ -91,7 +91,7 @@
         return int(status_line[1]), headers
 
     def read_body(self, length: int | None) -> bytes:
-        """Return the body; `length` None: it goes on to the end of the connection."""
+        """Return the body, which ends with the connection if `length` is None."""
         while length is None or len(self.buffer) < length:
             if len(self.buffer) > MAX_BODY_BYTES or (length or 0) > MAX_BODY_BYTES:
                 raise CallError("an answer is too long")
--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -1,4 +1,4 @@
-"""deploy/cdni.toml: where the CDNI front listens, its peers, and what content is offered."""
+"""Configuration of the CDNI front, from deploy/cdni.toml: listen address, peer CDNs and offered content."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ContentPath:
-    """Paths of a host that are one class."""
+    """A path prefix of a host, and the service class of its content."""
 
     prefix: str
     class_index: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """A CDN that delegates to this one."""
+    """A CDN that delegates deliveries to this one."""
 
     id: str
     metadata: str = ""
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Downstream:
-    """A CDN that this one delegates to."""
+    """A CDN to which this one delegates deliveries."""
 
     id: str
     redirect: str = ""
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Content:
-    """The object that a URL names, in the core's terms."""
+    """The object at a URL, as the core identifies it."""
 
     class_index: int
     item: str
@@ -80,7 +80,7 @@
     enabled: bool = True
 
     def locate(self, url: str) -> Content | None:
-        """Return the content that a URL names, or None for what is not offered."""
+        """Return the content at a URL, or None if it is not offered."""
         try:
             parts = urlsplit(url)
             authority, path = parts.netloc.lower(), parts.path or "/"
@@ -101,14 +101,14 @@
 
 
 def group_of_collection(ccid: str) -> int:
-    """Return the content group that a content collection id stands for."""
+    """Return the content group of a content collection id: its number below 256, otherwise a hash of it."""
     if ccid.isascii() and ccid.isdigit() and int(ccid) < 256:
         return int(ccid)
     return hashlib.blake2b(ccid.encode(), digest_size=1).digest()[0]
 
 
 def load(path: Path, classes: tuple[str, ...]) -> Cdni | None:
-    """Return the file's content; None where it is absent or switched off."""
+    """Return the configuration in a file; None if the file is absent or disabled."""
     data = files.read(path)
     if data is None or files.is_off(data):
         return None
@@ -117,7 +117,7 @@
 
 
 def parse(data: dict[str, Any], name: str, classes: tuple[str, ...]) -> Cdni:
-    """Return the content, on or off; raise ConfigError for a fault in it."""
+    """Return the configuration, enabled or not; raise ConfigError if it is invalid."""
     from lupintack.settings.cdni import File
 
     file = files.record(File, data, name)
@@ -132,7 +132,7 @@
         downstreams={down.id: Downstream(down.id, down.redirect, down.triggers) for down in file.downstream},
     )
     if not config.id or not config.base.startswith("http://"):
-        raise ConfigError(f"{name}: id and base (http://...) are wanted")
+        raise ConfigError(f"{name}: id and base (http://...) are required")
     for host in hosts:
         if host.upstream and host.upstream not in config.upstreams:
             raise ConfigError(f"{name}: host {host.name}: no upstream {host.upstream!r}")
@@ -146,7 +146,7 @@
     for path in host.path:
         if path.cls not in classes:
             raise ConfigError(
-                f"{file}: host {host.name}: unknown class {path.cls!r}, wanted is one of {classes}"
+                f"{file}: host {host.name}: unknown class {path.cls!r}, expected one of {classes}"
             )
         paths.append(ContentPath(path.prefix, classes.index(path.cls)))
     return ContentHost(host.name.lower(), host.group, tuple(paths), host.upstream, host.downstream)
--- a/lupintack/fronts/cdni/delivery.py
+++ b/lupintack/fronts/cdni/delivery.py
@@ -1,4 +1,4 @@
-"""Requests of the CDNI front on the core: deliveries to clients, and prepositions without a client."""
+"""Content requests of the CDNI front to the core: deliveries to clients, and prepositioning."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 from lupintack.fronts.platform import MAX_BODY_BYTES, ClientSink, check_method, deadline_us
 from lupintack.interface import Idempotency
 
-MAX_REMEMBERED_IDS = 4096  # ids of unsafe requests that are remembered
-ID_LIFETIME_US = 60_000_000  # for so long
+MAX_REMEMBERED_IDS = 4096  # bounds the memory; the oldest are removed first
+ID_LIFETIME_US = 60_000_000  # how long an id is remembered
 
 
 class RunOnceIds:
-    """Ids of requests that must not run twice.
+    """Ids of recent requests that must not run twice.
 
-    Guards against an alert-ack that reaches this CDN twice, as by two paths through its peers: the second one
-    is refused and goes nowhere. One that was rejected, and so never ran, may come again.
+    A request such as an alert-ack may reach this CDN twice, for instance over two paths through its peers.
+    The second one is refused without an attempt. The id of a request that was rejected, and so never ran, is
+    removed, and the request may be repeated.
     """
 
     def __init__(self) -> None:
-        """Begin with no ids."""
+        """Start without ids."""
         self.lock = threading.Lock()
         self.ids: OrderedDict[str, int] = OrderedDict()
 
     def add(self, wire_id: str) -> bool:
-        """Return whether the request with this id may run now."""
+        """Add the id of a request; return False if it was added before, so that the request must not run."""
         now = now_us()
         with self.lock:
             while self.ids and (
@@ -47,13 +48,13 @@
             return True
 
     def remove(self, wire_id: str) -> None:
-        """Forget the id of a request that never ran."""
+        """Remove the id of a request that never ran."""
         with self.lock:
             self.ids.pop(wire_id, None)
 
 
 class CdnSink(ClientSink):
-    """A client's answer as for the platform, with the standard field for the time to retry."""
+    """Answers a client as the platform's front does, with the standard Retry-After field on rejections."""
 
     __slots__ = ("on_rejected",)
 
@@ -63,7 +64,7 @@
         self.on_rejected = on_rejected
 
     def reject(self, wait_ms: int) -> None:
-        """Answer that the request was rejected before it ran; 0 ms: no time to retry is named."""
+        """Answer that the request was rejected before it ran; `wait_ms`: for Retry-After, 0 for none."""
         self.on_rejected()
         headers: list[tuple[str, object]] = (
             [("Retry-After", max(1, -(-wait_ms // 1000)))] if wait_ms > 0 else []
@@ -75,45 +76,51 @@
     """Notifies a thread that its request has ended."""
 
     def __init__(self) -> None:
-        """Begin with no result."""
+        """Start without a result."""
         self.done = threading.Event()
         self.is_served = False
 
     def serve(self, answer: Answer, not_modified: bool) -> None:
-        """Note that the request was served."""
+        """Record that the request was served."""
         self.is_served = True
         self.done.set()
 
     def reject(self, wait_ms: int) -> None:
-        """Note that the request has ended."""
+        """Record that the request has ended without being served."""
         self.done.set()
 
     def fail(self) -> None:
-        """Note that the request has ended."""
+        """Record that the request has ended without being served."""
         self.done.set()
 
     def report_conflict(self) -> None:
-        """Note that the request has ended."""
+        """Record that the request has ended without being served."""
         self.done.set()
 
     def is_disconnected(self) -> bool:
-        """Return that the waiting thread is still there."""
+        """Return False: the waiting thread does not disconnect."""
         return False
 
 
 class Delivery:
-    """Content requests under the same decisions and rules as the platform's."""
+    """Submits content requests to the core, under the same rules as the platform's requests."""
 
     def __init__(self, conf: Cdni, core: Core, store: metadata.MetadataStore) -> None:
         """`store`: the metadata of upstream CDNs."""
         self.conf = conf
         self.core = core
-        self.class_names = tuple(cls.name for cls in core.settings.classes)  # as the CDNI file was read
+        self.class_names = tuple(
+            cls.name for cls in core.settings.classes
+        )  # as in the settings with which the CDNI file was read
         self.store = store
         self.run_once_ids = RunOnceIds()
 
     def resolve_group(self, content: Content, url: str, client_ip: str) -> int:
-        """Return the content's group; raise DeliveryDeniedError where the upstream's metadata forbids it."""
+        """Return the content's group.
+
+        Raises DeliveryDeniedError if the upstream's metadata forbids the delivery, MetadataError if it is not
+        available.
+        """
         upstream = self.conf.upstreams.get(content.host.upstream)
         if upstream is None or not upstream.metadata:
             return content.group
@@ -122,7 +129,7 @@
         return content.group if group is None else group
 
     def serve(self, exchange: Exchange, url: str) -> None:
-        """Take a client's request for content; raise Bad for one that can't be taken."""
+        """Submit a client's request for content; raise HttpError if it is not accepted."""
         request = exchange.request
         content = self.conf.locate(url)
         if content is None:
@@ -143,15 +150,15 @@
         client_request.group = group
         exchange.on_disconnected = lambda: self.core.on_client_disconnected(client_request)
         if exchange.is_disconnected():
-            # Guards against a client that left while the metadata was fetched: on_left was nobody's then.
+            # The client disconnected while the metadata was fetched, when on_disconnected was not set yet.
             self.core.counters.increment("cdni.left")
             if runs_once:
-                self.run_once_ids.remove(request_id)  # nothing has run
+                self.run_once_ids.remove(request_id)  # it has not run
             return
         self.core.submit(client_request)
 
     def permitted_group(self, exchange: Exchange, content: Content, url: str) -> int:
-        """Return the content's group; raise Bad where the upstream's metadata forbids the delivery."""
+        """Return the content's group; raise HttpError if the metadata forbids the delivery or is missing."""
         try:
             return self.resolve_group(content, url, exchange.peer_ip)
         except metadata.DeliveryDeniedError as error:
@@ -162,11 +169,11 @@
     def build_request(
         self, exchange: Exchange, content: Content, request_id: str, wait_ms: int
     ) -> ClientRequest:
-        """Return a client's request in the core's terms."""
+        """Return the request to the core for a client's HTTP request."""
         request, headers = exchange.request, exchange.request.headers
         service_class = self.core.settings.classes[content.class_index]
         runs_once = service_class.idempotency is not Idempotency.IDEMPOTENT
-        # A client without a key: the router's own attempts carry one of the router's.
+        # For a client that sent no key: the router's attempts carry a generated one.
         generated_key = secrets.token_hex(16) if service_class.idempotency is Idempotency.KEYED else ""
         return ClientRequest(
             wire_id=request_id,
@@ -186,7 +193,7 @@
         )
 
     def fetch(self, content: Content, group: int) -> bool:
-        """Fetch content into the caches; return whether that succeeded in the time of its class."""
+        """Fetch content into the caches; return whether it was served within the deadline of its class."""
         service_class = self.core.settings.classes[content.class_index]
         sink = WaitSink()
         request = ClientRequest(
--- a/lupintack/fronts/cdni/front.py
+++ b/lupintack/fronts/cdni/front.py
@@ -1,4 +1,4 @@
-"""The CDNI front's routes: triggers, redirection, our metadata, and deliveries."""
+"""Routes of the CDNI front: triggers, redirection, this CDN's metadata, and deliveries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CdniFront:
-    """Handles requests of other CDNs, and of clients that they redirect here."""
+    """Handles requests of other CDNs, and of clients that they redirect to this one."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         ready: Callable[[], bool],
         spawn: Callable[[Callable[[], None], str], None],
     ) -> None:
-        """Start the workers of triggers; `ready`: the answer to a health check."""
+        """Start the trigger workers; `ready`: whether this router accepts clients, for health checks."""
         self.conf = conf
         self.core = core
         self.ready = ready
@@ -41,7 +41,7 @@
             spawn(self.triggers.run, "triggers")
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request, on the thread of its connection."""
+        """Answer one request; called on the thread of its connection."""
         request = exchange.request
         path = urlsplit(request.target).path
         first, _, resource_path = path.removeprefix("/").partition("/")
@@ -56,7 +56,7 @@
         exchange.answer(200 if self.ready() else 503)
 
     def on_triggers(self, exchange: Exchange, resource_path: str) -> None:
-        """Answer for RFC 8007's collection, its filters and the status resources."""
+        """Answer requests for trigger collections and status resources (RFC 8007)."""
         if resource_path in ("", *STATUS_FILTERS):
             if exchange.request.method == "POST" and resource_path == "":
                 data = messages.read_message(exchange, messages.COMMAND, messages.STATUS)
@@ -79,7 +79,7 @@
         self.send_document(exchange, messages.STATUS, resource.to_json())
 
     def on_ri(self, exchange: Exchange, resource_path: str) -> None:
-        """Answer a redirection request of RFC 7975."""
+        """Answer a redirection request (RFC 7975)."""
         require_method(exchange, "POST")
         data = messages.read_message(exchange, messages.RI_REQUEST, messages.RI_RESPONSE)
         try:
@@ -92,7 +92,7 @@
             messages.send_object(exchange, 500, messages.RI_RESPONSE, error.to_json(), cache_control)
 
     def on_metadata(self, exchange: Exchange, resource_path: str) -> None:
-        """Answer with the metadata that downstream CDNs need (RFC 8006)."""
+        """Answer with this CDN's metadata for downstream CDNs (RFC 8006)."""
         require_method(exchange, "GET")
         kind, _, name = resource_path.partition("/")
         host = self.conf.hosts.get(name)
@@ -104,11 +104,11 @@
             raise HttpError(404, "no such metadata")
 
     def on_delivery(self, exchange: Exchange, resource_path: str) -> None:
-        """Deliver content to a client that another CDN has redirected here."""
+        """Deliver content to a client that another CDN redirected to this one."""
         self.delivery.serve(exchange, "http://" + exchange.request.target.removeprefix("/delivery/"))
 
     def on_content(self, exchange: Exchange, resource_path: str) -> None:
-        """Deliver content of an own host, or redirect to a downstream CDN that takes it."""
+        """Deliver content, or redirect the client to a downstream CDN that accepts it."""
         url = "http://" + exchange.request.target.removeprefix("/content/")
         content = self.conf.locate(url)
         if content is not None and exchange.request.method == "GET":
@@ -123,7 +123,7 @@
         self.delivery.serve(exchange, url)
 
     def send_document(self, exchange: Exchange, ptype: str, data: dict[str, Any]) -> None:
-        """Answer with a JSON object that can be revalidated by its tag."""
+        """Answer with a JSON object, or with 304 if the client has the current entity tag."""
         if not messages.accepts(exchange.request.headers.get("accept", ""), ptype):
             raise HttpError(406, f"the answer is {messages.media_type(ptype)}")
         tag = f'"{hashlib.blake2b(json.dumps(data).encode(), digest_size=8).hexdigest()}"'
@@ -143,6 +143,6 @@
 
 
 def require_method(exchange: Exchange, method: str) -> None:
-    """Raise HttpError where the method is not the one of a resource."""
+    """Raise HttpError if the request has another method."""
     if exchange.request.method != method:
         raise HttpError(405, f"{method} is wanted")
--- a/lupintack/fronts/cdni/messages.py
+++ b/lupintack/fronts/cdni/messages.py
@@ -1,4 +1,4 @@
-"""Messages of other CDNs: media types, and JSON that is typed, bounded and checked by name."""
+"""Messages of other CDNs: media types, and validated JSON of bounded size."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def payload_type(header: str) -> str | None:
-    """Return the payload type of a Content-Type field; None for any other media type."""
+    """Return the payload type in a Content-Type field, empty if it has none; None for other media types."""
     parts = [part.strip() for part in header.split(";")]
     if parts[0].lower() != "application/cdni":
         return None
@@ -33,7 +33,7 @@
 
 
 def accepts(header: str, ptype: str) -> bool:
-    """Return whether an Accept field admits a payload type; an empty one admits everything."""
+    """Return whether an Accept field includes a payload type; an empty field includes every type."""
     if not header.strip():
         return True
     for media_range in header.split(","):
@@ -46,7 +46,10 @@
 
 
 def read_message(exchange: Exchange, ptype: str, answer_ptype: str) -> dict[str, Any]:
-    """Return the JSON object of a request; its type, and that of the answer, must be acceptable."""
+    """Return the JSON object in a request; raise HttpError for a wrong type or an invalid body.
+
+    `answer_ptype`: the payload type of the answer, which the client must accept.
+    """
     headers = exchange.request.headers
     if payload_type(headers.get("content-type", "")) != ptype:
         raise HttpError(415, f"{media_type(ptype)} is wanted")
@@ -56,7 +59,7 @@
 
 
 def parse_object(raw: bytes) -> dict[str, Any]:
-    """Return a JSON object."""
+    """Return a JSON object; raise HttpError for anything else."""
     try:
         data = json.loads(raw)
     except (ValueError, RecursionError) as error:
@@ -67,7 +70,7 @@
 
 
 def read_text(data: dict[str, Any], key: str, default: str | None = None) -> str:
-    """Return a string of bounded length."""
+    """Return a string of bounded length; raise HttpError for anything else."""
     value = data.get(key, default)
     if not isinstance(value, str) or len(value) > MAX_TEXT_CHARACTERS:
         raise HttpError(400, f"{key}: a string of {MAX_TEXT_CHARACTERS} characters at most is wanted")
@@ -75,7 +78,7 @@
 
 
 def read_texts(data: dict[str, Any], key: str, maximum: int = MAX_LIST_ITEMS) -> list[str]:
-    """Return a list of strings; empty where it is absent."""
+    """Return a list of strings, empty if the key is absent; raise HttpError for anything else."""
     value = data.get(key, [])
     if not isinstance(value, list) or len(value) > maximum:
         raise HttpError(400, f"{key}: a list of {maximum} strings at most is wanted")
--- a/lupintack/fronts/cdni/metadata.py
+++ b/lupintack/fronts/cdni/metadata.py
@@ -1,4 +1,4 @@
-"""RFC 8006: metadata of upstream CDNs, fetched, cached and applied; and this CDN's own."""
+"""Metadata (RFC 8006): fetches, caches and applies that of upstream CDNs, and generates this CDN's own."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 from lupintack.fronts.exchange import HttpError
 
 FETCH_TIMEOUT_US = 2_000_000
-DEFAULT_MAX_AGE_US = 60_000_000  # a document without a max-age is asked for anew after this long
+DEFAULT_MAX_AGE_US = 60_000_000  # for documents without a max-age
 MAX_AGE_LIMIT_US = 3_600_000_000
 MAX_DOCUMENTS = 256
-MAX_DEPTH = 8  # links and nested paths followed for one URL
+MAX_DEPTH = 8  # nested paths for one URL, and links in a row
 
 
 class MetadataError(Exception):
-    """The metadata can't be fetched or read."""
+    """The metadata cannot be fetched or is invalid."""
 
 
 class DeliveryDeniedError(Exception):
     """The metadata forbids the delivery."""
 
     def __init__(self, text: str, protocol: bool = False) -> None:
-        """`protocol`: the delivery protocol is the reason."""
+        """`protocol`: whether the delivery protocol is the reason."""
         super().__init__(text)
         self.protocol = protocol
 
 
 @dataclass(slots=True)
 class Document:
-    """A document, and when it expires."""
+    """A cached document, and when it expires."""
 
     data: dict[str, Any]
     expires_us: int
 
 
 class MetadataStore:
-    """Documents fetched from upstream CDNs."""
+    """Caches documents fetched from upstream CDNs."""
 
     def __init__(self) -> None:
-        """Begin with no documents."""
+        """Start without documents."""
         self.lock = threading.Lock()
         self.documents: dict[str, Document] = {}
 
     def get(self, url: str, ptype: str) -> dict[str, Any]:
-        """Return a document, fetched where none is cached or it has expired."""
+        """Return a document, from the cache unless it has expired; raise MetadataError if that fails."""
         with self.lock:
             cached = self.documents.get(url)
         if cached is not None and now_us() < cached.expires_us:
@@ -77,13 +77,13 @@
         return data
 
     def drop(self, urls: list[str]) -> None:
-        """Forget documents that are out of date."""
+        """Remove documents from the cache."""
         with self.lock:
             for url in urls:
                 self.documents.pop(url, None)
 
     def resolve(self, index_url: str, url: str) -> list[dict[str, Any]]:
-        """Return the generic metadata of a URL: of each type, the most specific level's."""
+        """Return the generic metadata of a URL, each type from the most specific level that has it."""
         parts = urlsplit(url)
         host_index = self.get(index_url, messages.HOST_INDEX)
         for host in _read_objects(host_index, "hosts"):
@@ -105,7 +105,7 @@
         raise MetadataError("paths nested too deep")
 
     def follow(self, value: Any, ptype: str, base: str) -> tuple[dict[str, Any], str]:
-        """Return an embedded object, or the one behind a link, and the URL that it came from."""
+        """Return an embedded or linked object, and the URL of the document that contains it."""
         for _ in range(MAX_DEPTH):
             if not isinstance(value, dict):
                 raise MetadataError(f"{ptype}: an object is wanted")
@@ -129,7 +129,11 @@
 
 
 def matches(pattern: Any, path: str) -> bool:
-    """Return whether a PatternMatch applies: * any characters, ? one, $ quotes; mostly without case."""
+    """Return whether a path matches a PatternMatch object.
+
+    `*` matches any characters, `?` one character, `$` quotes the next character. Case is ignored unless
+    `case-sensitive` is true.
+    """
     if not isinstance(pattern, dict) or not isinstance(pattern.get("pattern"), str):
         raise MetadataError("path-pattern: an object with a pattern is wanted")
     raw, glob, quoted = pattern["pattern"][: messages.MAX_TEXT_CHARACTERS], "", False
@@ -146,7 +150,7 @@
 def check_delivery(
     entries: list[dict[str, Any]], client_ip: str, unix_s: float, protocol: str = "http/1.1"
 ) -> int | None:
-    """Return the group that metadata name, if any; raise where they do not admit a delivery now."""
+    """Return the content group in metadata, if any; raise DeliveryDeniedError if it forbids a delivery."""
     group = None
     for generic in entries:
         kind, value = generic.get("generic-metadata-type"), generic.get("generic-metadata-value")
@@ -164,7 +168,7 @@
         elif kind == "MI.Grouping":
             group = group_of_collection(str(value["ccid"])) if "ccid" in value else group
         elif kind != "MI.SourceMetadata" and generic.get("mandatory-to-enforce", True) is not False:
-            # What must be enforced and isn't understood forbids the delivery.
+            # Metadata that is mandatory to enforce and not supported forbids the delivery.
             raise DeliveryDeniedError(f"{kind} is not supported and must be enforced")
     return group
 
@@ -176,7 +180,10 @@
     text: str,
     protocol: bool = False,
 ) -> None:
-    """The first rule that applies decides; with none, a list that allows something denies the rest."""
+    """Raise DeliveryDeniedError unless the first rule that applies allows the delivery.
+
+    Where no rule applies, a list with an `allow` rule denies it.
+    """
     rules = _read_objects(value, key)
     try:
         for rule in rules:
@@ -206,7 +213,7 @@
 
 
 def host_index(conf: Cdni) -> dict[str, Any]:
-    """Return this CDN's HostIndex: the hosts that a downstream CDN may deliver for it."""
+    """Return this CDN's HostIndex: the hosts that have a downstream CDN."""
     link = {"type": messages.HOST_METADATA}
     return {
         "hosts": [
@@ -218,7 +225,7 @@
 
 
 def host_metadata(conf: Cdni, host: ContentHost) -> dict[str, Any]:
-    """Return this CDN's HostMetadata of one host."""
+    """Return this CDN's HostMetadata for one host."""
     endpoint = urlsplit(conf.base).netloc
     return {
         "metadata": [
--- a/lupintack/fronts/cdni/redirection.py
+++ b/lupintack/fronts/cdni/redirection.py
@@ -1,4 +1,4 @@
-"""RFC 7975: redirections of clients, as a server for upstream CDNs and a client of downstream ones."""
+"""Request routing redirection (RFC 7975): server for upstream CDNs, client of downstream CDNs."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from lupintack.fronts.cdni.delivery import Delivery
 from lupintack.fronts.exchange import HttpError
 
-DOWNSTREAM_TIMEOUT_US = 300_000  # a downstream CDN that does not answer in this time is passed over
-DEFAULT_MAX_HOPS = 4  # allowed for a redirection that starts here
+DOWNSTREAM_TIMEOUT_US = 300_000  # after this, the content is delivered here
+DEFAULT_MAX_HOPS = 4  # for redirections that start at this CDN, and requests without max-hops
 
 # Error codes of RFC 7975
 METADATA_UNAVAILABLE, LOOP_DETECTED, MAX_HOPS_EXCEEDED = 501, 502, 503
@@ -32,13 +32,13 @@
         self.code = code
 
     def to_json(self) -> dict[str, Any]:
-        """Return the error in RFC 7975's form."""
+        """Return the error response object of RFC 7975."""
         return {"error": {"error-code": self.code, "description": str(self)}}
 
 
 @dataclass(frozen=True, slots=True)
 class RedirectionRequest:
-    """A redirection request. `http`: its object as it came, which goes on to a downstream CDN."""
+    """A parsed redirection request; `http`: its unchanged http object, which is forwarded downstream."""
 
     cdn_path: list[str]
     max_hops: int
@@ -53,14 +53,14 @@
     """The redirection interface."""
 
     def __init__(self, conf: Cdni, delivery: Delivery, ready: Callable[[], bool], counters: Counters) -> None:
-        """`ready`: whether this router takes clients."""
+        """`ready`: whether this router accepts clients."""
         self.conf = conf
         self.delivery = delivery
         self.ready = ready
         self.counters = counters
 
     def answer(self, data: dict[str, Any]) -> dict[str, Any]:
-        """Return the response to a request; raise RiError where there is none, HttpError for a bad one."""
+        """Return the response to a request; raise RiError for an error response, HttpError if malformed."""
         request = self.parse_request(data)
         content = self.locate(request)
         self.check_permitted(content, request)
@@ -71,7 +71,7 @@
         return self.redirect_here(request)
 
     def parse_request(self, data: dict[str, Any]) -> RedirectionRequest:
-        """Return a request's fields."""
+        """Return the parsed request; raise HttpError if it is malformed, RiError if it is not supported."""
         path = messages.read_texts(data, "cdn-path", messages.MAX_PATH_ITEMS)
         max_hops = data.get("max-hops", DEFAULT_MAX_HOPS)
         if not isinstance(max_hops, int) or isinstance(max_hops, bool) or max_hops < 0:
@@ -79,7 +79,7 @@
         if ("dns" in data) == ("http" in data):
             raise HttpError(400, "one of dns and http is wanted")
         if self.conf.id in path:
-            # Guards against a client sent round and round between CDNs.
+            # Prevents a client from being redirected between CDNs in a loop.
             raise RiError(LOOP_DETECTED, "loop detected")
         if "dns" in data:
             raise RiError(REDIRECTION_NOT_SUPPORTED, "DNS redirection is not supported")
@@ -95,7 +95,7 @@
         return RedirectionRequest(path, max_hops, http, method, uri, version, address)
 
     def locate(self, request: RedirectionRequest) -> Content:
-        """Return the content that a request names; raise RiError where it is not delivered now."""
+        """Return the requested content; raise RiError if this CDN does not deliver it now."""
         if not request.cdn_path or request.cdn_path[-1] not in self.conf.upstreams:
             raise RiError(500, "the sender is no upstream CDN of this one")
         if urlsplit(request.uri).scheme != "http" or not request.version.startswith("HTTP/1"):
@@ -111,7 +111,7 @@
         return content
 
     def check_permitted(self, content: Content, request: RedirectionRequest) -> None:
-        """Raise RiError where the upstream's metadata forbids the delivery, or can't be had."""
+        """Raise RiError if the upstream's metadata forbids the delivery or is not available."""
         try:
             self.delivery.resolve_group(content, request.uri, request.client_address)
         except metadata.MetadataError as error:
@@ -120,7 +120,7 @@
             raise RiError(PROTOCOL_NOT_SUPPORTED if error.protocol else 500, str(error)) from None
 
     def redirect_here(self, request: RedirectionRequest) -> dict[str, Any]:
-        """Return the response that sends the client to this CDN."""
+        """Return the response that redirects the client to this CDN."""
         parts = urlsplit(request.uri)
         query = f"?{parts.query}" if parts.query else ""
         location = f"{self.conf.base}/delivery/{parts.netloc}{parts.path}{query}"
@@ -139,9 +139,9 @@
     def redirect_downstream(
         self, content: Content, http: dict[str, Any], path: list[str], max_hops: int
     ) -> dict[str, Any] | None:
-        """Return the redirection of the content's downstream CDN; None where that does not deliver.
+        """Return the redirection from the content's downstream CDN, or None if the content is delivered here.
 
-        Guards requests that are not idempotent: they stay here, since two CDNs could each run one.
+        Writes are never delegated: two CDNs could each run a request that is not idempotent.
         """
         downstream = self.conf.downstreams.get(content.host.downstream)
         if downstream is None or not downstream.redirect or downstream.id in path:
--- a/lupintack/fronts/cdni/triggers.py
+++ b/lupintack/fronts/cdni/triggers.py
@@ -1,4 +1,4 @@
-"""RFC 8007: triggers of upstream CDNs, executed here and forwarded to the downstream ones."""
+"""Triggers of upstream CDNs (RFC 8007): executed in this CDN and forwarded to downstream CDNs."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 TRIGGER_TYPES = ("preposition", "invalidate", "purge")
 SELECTORS = ("metadata.urls", "content.urls", "content.ccid", "metadata.patterns", "content.patterns")
 MAX_RESOURCES = 1000  # status resources kept
-STALE_RESOURCE_S = 3600  # a finished one is removed after this long
-PURGE_TIMEOUT_S = 2.0  # a purge that does not hold by then has failed
+STALE_RESOURCE_S = 3600  # a finished trigger is removed after this time
+PURGE_TIMEOUT_S = 2.0  # a purge that is not in force by then has failed
 DOWNSTREAM_CALL_TIMEOUT_US = 2_000_000  # one call to a downstream CDN
-DOWNSTREAM_END_TIMEOUT_S = 10.0  # until it must report the end
+DOWNSTREAM_END_TIMEOUT_S = 10.0  # for a downstream CDN to finish a trigger
 POLL_INTERVAL_S = 0.1
 WORKER_COUNT = 2
 FINAL_STATUSES = ("complete", "processed", "failed", "cancelled")
@@ -53,7 +53,7 @@
     cancelled: threading.Event = field(default_factory=threading.Event)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the resource in RFC 8007's form."""
+        """Return the Trigger Status Resource object of RFC 8007."""
         fields = {"trigger": self.spec, "ctime": self.created, "mtime": self.changed, "status": self.status}
         return {**fields, "errors": self.errors} if self.errors else fields
 
@@ -74,17 +74,17 @@
         self.last_number = 0
         self.queue: SimpleQueue[Resource] = SimpleQueue()
 
-    # What the front calls
+    # Called by the front
 
     def handle_command(self, data: dict[str, Any]) -> Resource | None:
-        """Return the resource of a new trigger, or None for a command that cancels others."""
+        """Create a trigger and return its resource, or cancel triggers and return None."""
         path = messages.read_texts(data, "cdn-path", messages.MAX_PATH_ITEMS)
         if not path:
             raise HttpError(400, "cdn-path: at least the sender is wanted")
         if path[-1] not in self.conf.upstreams:
             raise HttpError(403, f"{path[-1]} is no upstream CDN of this one")
         if self.conf.id in path:
-            # Guards against a trigger that has come round: handing it on would never end.
+            # Forwarding a trigger that this CDN has forwarded before would never end.
             raise HttpError(403, "loop: cdn-path holds this CDN")
         if ("trigger" in data) == ("cancel" in data):
             raise HttpError(400, "one of trigger and cancel is wanted")
@@ -96,7 +96,7 @@
         return self.create(spec, path)
 
     def create(self, spec: dict[str, Any], path: list[str]) -> Resource:
-        """Create a resource and queue it for a worker; raise HttpError where too many are under way."""
+        """Create a resource and queue it for a worker; raise HttpError if too many triggers are active."""
         now = int(time.time())
         with self.lock:
             for number, existing in list(self.resources.items()):
@@ -113,7 +113,7 @@
         return resource
 
     def cancel(self, urls: list[str], owner: str) -> None:
-        """Cancel triggers that have not ended; an unknown one fails the whole command."""
+        """Cancel triggers that have not ended; raise HttpError, and cancel none, if one cannot be."""
         resources = [self.find_by_url(url) for url in urls]
         for resource in resources:
             if resource.owner != owner:
@@ -127,7 +127,7 @@
                     self._finish(resource, "cancelled")
 
     def find_by_url(self, url: str) -> Resource:
-        """Return the resource at a URL; raise HttpError where there is none."""
+        """Return the resource at a URL; raise HttpError if it does not exist."""
         number = url.rsplit("/", 1)[-1]
         with self.lock:
             resource = self.resources.get(int(number)) if number.isascii() and number.isdigit() else None
@@ -140,13 +140,13 @@
         return f"{self.conf.base}/triggers/{resource.number}"
 
     def delete(self, resource: Resource) -> None:
-        """Remove a resource, and stop its trigger if that is under way."""
+        """Remove a resource, and cancel its trigger if it has not ended."""
         with self.lock:
             resource.cancelled.set()
             self.resources.pop(resource.number, None)
 
     def collection(self, name: str) -> dict[str, Any]:
-        """Return a collection, whole or filtered."""
+        """Return the collection of all triggers, or the filtered one with this name."""
         with self.lock:
             statuses = STATUS_FILTERS.get(name)
             urls = [self.url(r) for r in self.resources.values() if statuses is None or r.status in statuses]
@@ -157,15 +157,15 @@
             data["cdn-id"] = self.conf.id
         return data
 
-    # Carrying out
+    # Execution
 
     def run(self) -> None:
-        """Execute triggers for good; the whole life of a worker."""
+        """Execute queued triggers; the main loop of a worker thread."""
         while True:
             self.execute(self.queue.get())
 
     def execute(self, resource: Resource) -> None:
-        """Execute a trigger here and at the downstream CDNs, and note how it ended."""
+        """Execute a trigger in this and the downstream CDNs, and record its final status."""
         with self.lock:
             if resource.status != "pending" or resource.cancelled.is_set():
                 return
@@ -176,7 +176,7 @@
             for downstream in self.conf.downstreams.values():
                 if downstream.triggers and not resource.cancelled.is_set():
                     self.forward(resource, downstream, errors)
-        except Exception as error:  # a worker must outlive one bad trigger, and its sender must hear of it
+        except Exception as error:  # keeps the worker alive and reports the failure to the sender
             LOG.exception("trigger failed", extra=fields(number=resource.number))
             errors.append(error_description("ecdn", str(error)))
         with self.lock:
@@ -203,7 +203,7 @@
         if spec["type"] == "preposition":
             self.preposition(resource, errors)
             return
-        # A copy that must be validated and one that must go are the same here: neither is served again.
+        # An invalidation is executed as a purge: no copy is served again in either case.
         self.store.drop(messages.read_texts(spec, "metadata.urls"))
         waits: list[tuple[threading.Event, str, str]] = []
         for url in messages.read_texts(spec, "content.urls"):
@@ -220,12 +220,12 @@
             waits.append((in_force, "content.ccid", ccid))
         deadline_us = now_us() + int(PURGE_TIMEOUT_S * 1e6)
         for in_force, key, value in waits:
-            # Complete is said only once the purge holds for every attempt from here on.
+            # A trigger is complete only when the purge applies to every later attempt.
             if not in_force.wait(max(0.0, (deadline_us - now_us()) / 1e6)):
                 errors.append(error_description("ecdn", "the purge does not hold yet", key, [value]))
 
     def preposition(self, resource: Resource, errors: list[dict[str, Any]]) -> None:
-        """Fetch metadata, and have the caches fetch content."""
+        """Fetch metadata, and fetch content into the caches."""
         for url in messages.read_texts(resource.spec, "metadata.urls"):
             try:
                 self.store.drop([url])
@@ -250,9 +250,9 @@
                 errors.append(error_description("econtent", "could not be fetched", "content.urls", [url]))
 
     def forward(self, resource: Resource, downstream: Downstream, errors: list[dict[str, Any]]) -> None:
-        """Send the same command to a downstream CDN, and wait for its end."""
+        """Send the command to a downstream CDN, and wait until it has ended there."""
         if downstream.id in resource.cdn_path:
-            return  # it came from there
+            return  # the trigger has passed through that CDN
         body = json.dumps({"trigger": resource.spec, "cdn-path": [*resource.cdn_path, self.conf.id]}).encode()
         headers = {
             "Content-Type": messages.media_type(messages.COMMAND),
@@ -281,7 +281,7 @@
 
 
 def check_spec(spec: Any) -> None:
-    """Raise HttpError for a trigger specification that is not one of RFC 8007's."""
+    """Raise HttpError if a trigger specification is not valid under RFC 8007."""
     if not isinstance(spec, dict):
         raise HttpError(400, "trigger: an object is wanted")
     if messages.read_text(spec, "type") not in TRIGGER_TYPES:
@@ -296,5 +296,5 @@
 
 
 def error_description(code: str, text: str, key: str = "", values: list[Any] | None = None) -> dict[str, Any]:
-    """Return an Error Description."""
+    """Return an Error Description object of RFC 8007."""
     return {"error": code, "description": text[:200]} | ({key: values} if key and values else {})
