--- a/lupintack/peers/__init__.py
+++ b/lupintack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Caches, parents and the origin: an actor for each member, its connections, and the protocol on them."""
+"""Communication with members: an actor for each member, its connections, and the wire protocol."""
--- a/lupintack/peers/config.py
+++ b/lupintack/peers/config.py
@@ -1,4 +1,4 @@
-"""Terms for connections to members, from the platform's settings and the machine's limits."""
+"""Configuration of the connections to members, from the platform's settings and the machine's limits."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True)
 class PeerConfig:
-    """Terms that all members share.
+    """Configuration that all members share.
 
-    `load_report_fields`: names of a load report's values, in the settings' order. `copy_clock`: tells the
-    age of copies by their time stamps. `allows_cancellation`: whether an attempt may be cancelled at its
-    member. `count`: adds one to a counter of how connections end.
+    `load_report_fields`: the names of a load report's values, in the order of the settings. `copy_clock`:
+    bounds the age of copies, and rejects corrupt timestamps. `allows_cancellation`: whether an attempt may be
+    cancelled at its member. `count`: increments the counter with this name.
     """
 
     max_streams: int
--- a/lupintack/peers/connection.py
+++ b/lupintack/peers/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a member: connected and read by a thread of its own, written by any thread."""
+"""One connection to a member: a reader thread connects and reads it, any thread writes to it."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 from lupintack.peers.messages import SlotReleased, YieldConnection
 
 LOG = logging.getLogger("peers")
-SEND_TIMEOUT_US = 1_000_000  # a member that takes no bytes for so long loses the connection
+SEND_TIMEOUT_US = 1_000_000  # the connection is closed if the member accepts no data for this long
 MAX_BACKLOG_BYTES = 262_144
 REMEMBERED_CANCELLED_IDS = 64
-MAX_UNEXPECTED_ANSWERS = 64  # one after another
+MAX_UNEXPECTED_ANSWERS = 64  # in a row
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    """A connection is up."""
+    """A connection is established."""
 
     connection: Connection
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnected:
-    """A connection has ended, or never came up."""
+    """A connection has ended, or could not be established."""
 
     connection: Connection
     status: AttemptStatus
 
 
 class ConnectionOwner(Protocol):
-    """The actor of a member, as its connections use it; called on any thread."""
+    """The actor of a member, as used by its connections; called on any thread."""
 
     name: str
     address: tuple[str, int]
@@ -53,64 +53,66 @@
 
     @property
     def report_result(self) -> Callable[[AttemptResult], None]:
-        """Takes the result of an attempt."""
+        """Report the result of an attempt."""
 
     @property
     def spawn(self) -> Callable[[Callable[[], None], str], None]:
-        """Runs a call on a thread of that name."""
+        """Run a function on a new thread with this name."""
 
     def enqueue(self, message: Connected | Disconnected | SlotReleased | YieldConnection) -> None:
         """Put a message into the actor's mailbox."""
 
 
 class Connection:
-    """A connection, and the attempts that are open on it by their ids."""
+    """A connection, and its open attempts by their ids."""
 
     def __init__(self, peer: ConnectionOwner) -> None:
-        """Take the actor of the member; `run` connects."""
+        """`peer`: the actor of the member. The connection is established by `run`."""
         self.peer = peer
         self.sock: socket.socket | None = None
-        self.is_connected = False  # has been
+        self.is_connected = False  # stays true when it has ended
         self.end_status: AttemptStatus | None = None
         self.open_attempts: dict[str, Attempt] = {}
         self.cancelled_ids: deque[str] = deque(maxlen=REMEMBERED_CANCELLED_IDS)
-        self.abandoned_ids: set[str] = set()  # nobody waits for these, and they may not be cancelled
-        self.unexpected_answers = 0  # one after another
+        self.abandoned_ids: set[str] = (
+            set()
+        )  # no request waits for these attempts, and they may not be cancelled
+        self.unexpected_answers = 0  # in a row
         self.lock = threading.Lock()
-        self.backlog = bytearray()  # the rest of what is begun; nothing new is written before it is out
+        self.backlog = bytearray()  # data that the kernel did not accept; written before any new data
         self.last_used_us = now_us()
-        self.unanswered_since_us = 0  # the first write since something was received; 0: none
-        self.health_check_sent_us = 0  # until something is received
+        self.unanswered_since_us = 0  # time of the first write since data was received; 0: none
+        self.health_check_sent_us = 0  # reset when data is received; 0: none
         self.health_check_failed = False
-        self.is_yielding = False  # to be closed for another member's first connection
+        self.is_yielding = False  # to be closed to free a descriptor for another member's first connection
         self.is_closing = False  # its member has closed it
 
     def is_open(self) -> bool:
-        """Return whether it is connected and has not ended."""
+        """Return whether it is established and has not ended."""
         return self.is_connected and self.end_status is None
 
     def is_reusable(self) -> bool:
-        """Return whether nobody has begun to close it."""
+        """Return whether it is not about to be closed by either side."""
         return not (self.is_yielding or self.is_closing)
 
     def is_closed_by_member(self) -> bool:
-        """Return whether the member has closed or reset it, seen by its thread or not."""
+        """Return whether the member has closed or reset it, even before the reader thread sees it."""
         return self.sock is not None and client_liveness.has_closed(self.sock)
 
     def attempts_at_member(self) -> int:
-        """Return how many attempts its member may be working on, abandoned ones included."""
+        """Return the number of attempts that its member may be working on, including abandoned ones."""
         return len(self.open_attempts) + len(self.abandoned_ids)
 
     def is_exhausted(self) -> bool:
-        """Return whether abandoned attempts take all of its room: only its end helps."""
+        """Return whether abandoned attempts use all of its streams, so that it must be closed."""
         return not self.open_attempts and len(self.abandoned_ids) >= self.peer.config.max_streams
 
     def is_idle(self) -> bool:
-        """Return whether it could be closed for another member: nothing is open, and it is not ending."""
+        """Return whether it may be closed for another member: it has no open attempt, and is not ending."""
         return self.is_open() and not self.open_attempts and self.is_reusable()
 
     def accepts_attempts(self) -> bool:
-        """Return whether an attempt may be written now, but for the bound on open ones."""
+        """Return whether an attempt may be written now, apart from the bound on open attempts."""
         return self.is_open() and not self.backlog and self.is_reusable()
 
     def may_receive_answer(self, wire_id: str) -> bool:
@@ -118,7 +120,7 @@
         return wire_id in self.open_attempts or wire_id in self.cancelled_ids or wire_id in self.abandoned_ids
 
     def run(self) -> None:
-        """Connect, read until the connection ends, and report what was open on it."""
+        """Connect, read until the connection ends, and report the end of the attempts that are still open."""
         status = self.connect()
         if status is None:
             self.peer.enqueue(Connected(self))
@@ -137,7 +139,7 @@
         self.peer.enqueue(Disconnected(self, status))
 
     def connect(self) -> AttemptStatus | None:
-        """Connect; return why that failed, or None where it did not."""
+        """Connect; return the status of a failure, or None."""
         try:
             family = socket.AF_INET6 if ":" in self.peer.address[0] else socket.AF_INET
             self.sock = sockets.connect(family, self.peer.address, self.peer.config.connect_timeout_us / 1e6)
@@ -151,9 +153,9 @@
         return None
 
     def set_options(self, sock: socket.socket) -> None:
-        """Set the options of the socket; the connection works without those that can't be set."""
+        """Set the socket options; a failure to set one is counted and otherwise ignored."""
         send_timeout = struct.pack("ll", SEND_TIMEOUT_US // 1_000_000, SEND_TIMEOUT_US % 1_000_000)
-        # Guards against an answer that stops short on a connection that stays open.
+        # Detects an answer that stops short on a connection that stays open.
         stall_timeout = struct.pack("ll", int(resp.STALL_TIMEOUT_S), int(resp.STALL_TIMEOUT_S % 1 * 1e6))
         are_set = [
             sockets.set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -164,7 +166,7 @@
             self.peer.config.count("option_not_set")
 
     def read_answers(self) -> AttemptStatus:
-        """Report answers until the connection ends; return how it did."""
+        """Read and report answers until the connection ends; return the status of its end."""
         assert self.sock is not None
         reader = resp.Reader(self.sock)
         try:
@@ -180,21 +182,21 @@
             return AttemptStatus.CLOSED
         except OSError:
             return AttemptStatus.RESET
-        except Exception:  # a fault of this program: the attempts open here must end all the same
-            LOG.exception("answer can't be taken")
+        except Exception:  # a fault of this program; the open attempts must still end
+            LOG.exception("cannot process answer")
             return AttemptStatus.BAD_FRAME
 
     def on_answer(self, parts: list[bytearray]) -> None:
-        """Report the answer to an attempt; raise FrameError for one that the protocol does not allow."""
+        """Report the answer to an attempt; raise FrameError if the protocol does not allow it."""
         if len(parts) != 4 or not platform_wire.WIRE_ID.fullmatch(parts[0]):
-            raise resp.FrameError(f"an answer of {len(parts)} strings, or to no id")
+            raise resp.FrameError(f"answer of {len(parts)} strings, or with an invalid id")
         wire_id = parts[0].decode("latin-1")
         attempt = self.open_attempts.get(wire_id)
-        # None after a cancel, for a second answer, and for one that nobody asked for.
+        # None after a cancel, for a second answer, and for an answer to an unknown id.
         self.unexpected_answers = 0 if attempt is not None else self.unexpected_answers + 1
         if self.unexpected_answers > MAX_UNEXPECTED_ANSWERS:
-            # Guards the processor time that all members share against one that goes on and on.
-            raise resp.FrameError("answers that nobody has asked for")
+            # Bounds the processor time that one member can take from the others with such answers.
+            raise resp.FrameError("too many unexpected answers")
         if attempt is not None:
             config = self.peer.config
             status, answer = platform_wire.parse_answer(
@@ -207,9 +209,9 @@
             self.peer.enqueue(SlotReleased())
 
     def send(self, data: bytes) -> bool:
-        """Write bytes; return False where none were.
+        """Write data without blocking; return False if none of it was written.
 
-        What the kernel does not take at once is written by a thread of its own, so this never blocks.
+        Data that the kernel does not accept immediately is written by a separate thread.
         """
         with self.lock:
             if self.end_status is not None or self.sock is None or len(self.backlog) > MAX_BACKLOG_BYTES:
@@ -229,7 +231,7 @@
         return True
 
     def flush_backlog(self) -> None:
-        """Write the backlog; a member that takes no bytes for `SEND_TIMEOUT_US` loses the connection."""
+        """Write the backlog; close the connection if the member accepts no data for `SEND_TIMEOUT_US`."""
         while True:
             with self.lock:
                 data = bytes(self.backlog)
@@ -246,13 +248,14 @@
         self.peer.enqueue(SlotReleased())
 
     def cancel(self, attempt: Attempt, notify: bool) -> bool:
-        """Stop waiting for an attempt; return False where it has ended meanwhile.
+        """Stop waiting for an attempt; return False if it has ended in the meantime.
 
-        Where the settings bar a cancel, the member may go on with it until it answers or the connection ends.
+        Where the settings forbid cancellation, the member may work on the attempt until it answers or the
+        connection ends.
         """
         wire_id, allows_cancellation = attempt.request.wire_id, self.peer.config.allows_cancellation
         if not allows_cancellation:
-            # Before it leaves the open ones, as its answer may come just now.
+            # Before it is removed from the open attempts, as its answer may arrive at any time.
             self.abandoned_ids.add(wire_id)
         if self.open_attempts.pop(wire_id, None) is not attempt:
             self.abandoned_ids.discard(wire_id)
@@ -261,18 +264,18 @@
         if allows_cancellation:
             written = self.send(platform_wire.encode_cancel(wire_id))
             if notify and (self.backlog or not written):
-                self.close()  # its member takes no bytes: only the connection's end cancels it now
+                self.close()  # the cancel was not sent: only the end of the connection cancels the attempt
         return True
 
     def yield_descriptor(self) -> None:
-        """Close for another member's sake, unless an attempt has been written meanwhile."""
+        """Close to free the descriptor for another member, unless an attempt is open again."""
         if self.open_attempts:
             self.is_yielding = False
         else:
             self.close()
 
     def close(self) -> None:
-        """Shut the connection down; its thread does the rest."""
+        """Shut the socket down; the reader thread then ends and reports the connection."""
         try:
             if self.sock is not None:
                 self.sock.shutdown(socket.SHUT_RDWR)
--- a/lupintack/peers/connection_pool.py
+++ b/lupintack/peers/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one member: which of them takes an attempt, and when one is closed."""
+"""The connections to one member: picks one for an attempt, and closes idle and silent ones."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from lupintack.peers.connection import Connection, ConnectionOwner, Disconnected
 
 MAX_CONNECTIONS = 24
-SUSPECT_AFTER_US = 400_000  # without an answer since the first write that waits for one
+SUSPECT_AFTER_US = 400_000  # without an answer since the first unanswered write
 HEALTH_CHECK_AFTER_US = 600_000
 HEALTH_CHECK_TIMEOUT_US = 600_000
-IDLE_TIMEOUT_SHARE = 0.7  # closed this early, so that no attempt crosses the member's own close
+IDLE_TIMEOUT_SHARE = 0.7  # of the member's own time-out, so that no attempt crosses its close
 
 
 class ConnectionPool:
-    """Used in the turn of the member's actor alone."""
+    """The connections to one member; used only in the turn of its actor."""
 
     def __init__(self, peer: ConnectionOwner) -> None:
-        """Take the actor of the member."""
+        """`peer`: the actor of the member."""
         self.peer = peer
         self.connections: list[Connection] = []
 
     def is_full(self) -> bool:
-        """Return whether the member may have no further connection."""
+        """Return whether the member has its maximum of connections."""
         return len(self.connections) >= MAX_CONNECTIONS
 
     def has_open(self) -> bool:
-        """Return whether a connection is up."""
+        """Return whether a connection is established."""
         return any(connection.is_open() for connection in self.connections)
 
     def connecting(self) -> int:
-        """Return how many connections are not up yet."""
+        """Return the number of connections that are not established yet."""
         return sum(not connection.is_connected for connection in self.connections)
 
     def pick(self, wire_id: str, allow_suspected: bool = False) -> Connection | None:
-        """Return the connection with the fewest attempts that may take one with this id, or None.
+        """Return the connection with the fewest attempts that accepts one with this id, or None.
 
-        One that the member has closed is passed over, even where its thread has yet to see that: what is
-        written there must count as run, and a request that is not idempotent would be lost.
+        A connection that the member has closed is skipped, even before its reader thread sees that: an
+        attempt written there must count as run, and a request that is not idempotent would be lost.
         """
         while True:
             connection = self.least_loaded(wire_id, allow_suspected)
@@ -49,18 +49,18 @@
             connection.is_closing = True
 
     def least_loaded(self, wire_id: str, allow_suspected: bool) -> Connection | None:
-        """Return the connection with the fewest attempts, as far as their threads have seen."""
+        """Return the connection with the fewest attempts, without a check for closed sockets."""
         best, lowest_load = None, self.peer.config.max_streams
         suspected_before_us = now_us() - SUSPECT_AFTER_US
         for connection in self.connections:
-            # Guards against a silent connection: its attempts end by their deadlines, so that it would have
-            # the fewest, and be given each new one, until its health check fails.
+            # The attempts on a silent connection end at their deadlines, so that it would have the fewest and
+            # get each new one until its health check fails.
             if not allow_suspected and 0 < connection.unanswered_since_us < suspected_before_us:
                 continue
             load = connection.attempts_at_member()
             if load >= lowest_load or not connection.accepts_attempts():
                 continue
-            # Guards against a late answer to a cancelled attempt being read as this one's: same id.
+            # A late answer to a cancelled attempt with the same id would be taken for this attempt's.
             if connection.may_receive_answer(wire_id):
                 continue
             best, lowest_load = connection, load
@@ -69,19 +69,19 @@
         return best
 
     def open(self) -> Connection | None:
-        """Open a further connection; return None where the quota of all members leaves none."""
+        """Open another connection; return None if the quota of all members is used up."""
         connection = Connection(self.peer)
         if not self.peer.config.quota.acquire(connection, not self.connections):
             return None
         self.connections.append(connection)
         try:
             self.peer.spawn(connection.run, f"{self.peer.name} reader")
-        except RuntimeError:  # no thread can be started: as good as no connection
+        except RuntimeError:  # no thread can be started: handled as a failed connection
             self.peer.enqueue(Disconnected(connection, AttemptStatus.CONNECT_FAILED))
         return connection
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that has ended, and return its slot."""
+        """Remove a connection that has ended, and release its slot in the quota."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.peer.config.quota.release(connection)
@@ -95,10 +95,10 @@
         return None
 
     def check_health(self) -> None:
-        """Send a health check on silent connections, and close those that did not answer theirs.
+        """Send health checks on silent connections, and close those whose health check timed out.
 
-        Guards against a member that was cut off: its old connections stay open and silent for good, also
-        after it is back, and each attempt written to one would be lost.
+        The old connections to a member that was cut off stay open and silent, even when it is reachable
+        again, and each attempt written to one would be lost.
         """
         now = now_us()
         for connection in self.connections:
@@ -113,7 +113,7 @@
                 connection.health_check_sent_us = now
 
     def close_idle(self, is_draining: bool) -> None:
-        """Close connections that were idle for long or are exhausted; all that are idle, where draining."""
+        """Close connections that are exhausted or idle past the time-out; if draining, all idle ones."""
         idle_limit_us = 0 if is_draining else int(self.peer.config.idle_timeout_us * IDLE_TIMEOUT_SHARE)
         now = now_us()
         for connection in self.connections:
--- a/lupintack/peers/connection_quota.py
+++ b/lupintack/peers/connection_quota.py
@@ -1,4 +1,4 @@
-"""The bound on connections to all members together."""
+"""The quota of connections that all members share."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class QuotaUser(Protocol):
-    """A member's actor, as the quota uses it."""
+    """A member's actor, as used by the quota."""
 
     def enqueue(self, message: SlotReleased | YieldConnection) -> None:
         """Put a message into the actor's mailbox."""
 
 
 class QuotaConnection(YieldingConnection, Protocol):
-    """A connection, as the quota uses it."""
+    """A connection, as used by the quota."""
 
     is_yielding: bool
     last_used_us: int
@@ -27,19 +27,19 @@
         """The actor of its member."""
 
     def is_idle(self) -> bool:
-        """Return whether nothing is open on it, and nobody has begun to close it."""
+        """Return whether it has no open attempt and is not about to be closed."""
 
 
 class ConnectionQuota:
-    """The descriptors that all members' connections share; used from any thread.
+    """Bounds the descriptors used by the connections to all members; thread-safe.
 
-    Guards against running out of them: a connect that fails for want of one would count as the member's
-    failure, and neither clients nor discovery's connection would get any. A member's first connection may
-    come out of a small reserve; beyond that it waits until the longest idle connection is closed for it.
+    Without the bound, a connect that fails because descriptors ran out would count as the member's failure,
+    and neither clients nor the connection to discovery would get any. A member's first connection may use a
+    small reserve; when that is used up, it waits until the longest idle connection has been closed.
     """
 
     def __init__(self, max_connections: int, reserve: int = 0) -> None:
-        """`reserve`: connections beyond `max_connections` that only a member's first may use."""
+        """`reserve`: connections beyond `max_connections`, for the first connection of a member."""
         self.max_connections = max_connections
         self.reserve = reserve
         self.used = 0
@@ -50,8 +50,8 @@
     def acquire(self, connection: QuotaConnection, is_first: bool) -> bool:
         """Return whether a connection may be opened.
 
-        Where a member's first may not, the longest idle connection of another member is asked to close, and
-        the member gets `SlotReleased` when one has.
+        If a member's first connection may not, the longest idle connection of another member is requested to
+        close, and the member gets `SlotReleased` when a connection has closed.
         """
         with self.lock:
             if self.used < self.max_connections + self.reserve * is_first:
@@ -70,7 +70,7 @@
         return False
 
     def release(self, connection: QuotaConnection) -> None:
-        """Return a closed connection's slot, and notify the first member that waits for one."""
+        """Release a closed connection's slot, and notify the first member that waits for one."""
         with self.lock:
             self.used -= 1
             self.connections.discard(connection)
--- a/lupintack/peers/messages.py
+++ b/lupintack/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages in the mailbox of a member's actor that name no connection of its own."""
+"""Messages to the actor of a member, except those of its own connections."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class YieldingConnection(Protocol):
-    """A connection that can be closed for another member's sake."""
+    """A connection that can be closed to free its descriptor for another member."""
 
     def yield_descriptor(self) -> None:
-        """Close, unless an attempt has been written meanwhile."""
+        """Close, unless an attempt has been written in the meantime."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Write an attempt as soon as a connection has room for it."""
+    """Write an attempt as soon as a connection accepts it."""
 
     attempt: Attempt
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReleased:
-    """A connection may have room for another attempt, or a further connection may be opened."""
+    """A connection may accept another attempt, or another connection may be opened."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Write nothing more, and close each connection when nothing is open on it."""
+    """Write no further attempts, and close each connection when it has no open attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class YieldConnection:
-    """Close an idle connection: another member needs its descriptor."""
+    """Close an idle connection to free its descriptor for another member."""
 
     connection: YieldingConnection
--- a/lupintack/peers/peer.py
+++ b/lupintack/peers/peer.py
@@ -1,8 +1,7 @@
 """The actor of one member: its mailbox, and the attempts that wait for a connection.
 
-The actor runs on whichever thread has just put a message into its mailbox, if no other is running it, and
-never blocks. An attempt waits here while no connection has room, and is checked again at the moment of its
-write.
+The actor runs on the thread that puts a message into its mailbox, unless another thread is running it, and
+never blocks. An attempt waits here while no connection accepts it, and is checked again when it is written.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 from lupintack.peers.connection_pool import ConnectionPool
 from lupintack.peers.messages import CancelAttempt, Drain, SlotReleased, Submit, Tick, YieldConnection
 
-ATTEMPTS_BEFORE_NEW_CONNECTION = 4  # open on a connection before another is opened
+ATTEMPTS_BEFORE_NEW_CONNECTION = 4  # open on each connection before another connection is opened
 
 Message = Submit | CancelAttempt | Connected | Disconnected | SlotReleased | Tick | Drain | YieldConnection
 
 
 class Peer:
-    """One member of the list, at one address."""
+    """The actor of one member of the list at one address."""
 
     def __init__(
         self,
@@ -36,7 +35,7 @@
         report_result: Callable[[AttemptResult], None],
         spawn: Callable[[Callable[[], None], str], None],
     ) -> None:
-        """`report_result`: called on any thread; `spawn`: runs a call on a thread of that name."""
+        """`report_result`: called on any thread; `spawn`: runs a function on a new thread with that name."""
         self.name = name
         self.address = address
         self.config = config
@@ -46,11 +45,11 @@
         self.turn = threading.Lock()
         self.pool = ConnectionPool(self)
         self.waiting_attempts: deque[Attempt] = deque()
-        self.has_waiting = False  # read by the connections' threads: whether room is worth a message
+        self.has_waiting = False  # read by the reader threads: whether they must send SlotReleased
         self.draining = False
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt as soon as a connection has room for it."""
+        """Write an attempt as soon as a connection accepts it."""
         self.enqueue(Submit(attempt))
 
     def cancel(self, attempt: Attempt, notify: bool = False) -> None:
@@ -58,7 +57,7 @@
         self.enqueue(CancelAttempt(attempt, notify))
 
     def drain(self) -> None:
-        """Write nothing more, and close each connection when nothing is open on it."""
+        """Write no further attempts, and close each connection when it has no open attempt."""
         self.enqueue(Drain())
 
     def tick(self) -> None:
@@ -66,11 +65,11 @@
         self.enqueue(Tick())
 
     def is_idle(self) -> bool:
-        """Return whether nothing is left of a drained member."""
+        """Return whether a drained member has neither connections nor waiting attempts left."""
         return not self.pool.connections and not self.waiting_attempts
 
     def enqueue(self, message: Message) -> None:
-        """Put a message into the mailbox, and take the turn unless another thread has it."""
+        """Put a message into the mailbox, and run the actor unless another thread is running it."""
         self.mailbox.append(message)
         while self.mailbox and self.turn.acquire(blocking=False):
             try:
@@ -100,44 +99,46 @@
             self.pool.check_health()
 
     def on_cancel(self, message: CancelAttempt) -> None:
-        """Cancel a written attempt where the settings allow that; forget one that waits.
+        """Cancel a written attempt if the settings allow that, or remove a waiting one.
 
-        Where they don't, the member may be at work until it answers or the connection ends, however long past
-        the limit that it was given: only attempts of a request that is over are cancelled then.
+        If they do not, the member may work on the attempt until it answers or the connection ends, even past
+        the limit that it was given; only attempts of a request that has ended are cancelled then.
         """
         attempt = message.attempt
         if attempt in self.waiting_attempts:
             self.waiting_attempts.remove(attempt)
-            status = AttemptStatus.OUTDATED  # no byte of it was written
+            status = AttemptStatus.OUTDATED  # nothing of it was written
         else:
             status = AttemptStatus.CANCELLED
             connection = self.pool.find(attempt)
             if connection is None or not connection.cancel(attempt, message.notify):
-                return  # it has ended, and its result was reported
+                return  # it has ended, and its result has been reported
         if message.notify:
             self.report_result(AttemptResult(attempt, status))
 
     def on_disconnected(self, message: Disconnected) -> None:
-        """Remove a connection; where none is up, its failure to connect ends the waiting attempts."""
+        """Remove a connection; if it never connected and no other is open, end the waiting attempts."""
         self.pool.remove(message.connection)
         if not message.connection.is_connected and not self.pool.has_open():
             self.end_waiting(message.status)
 
     def on_drain(self) -> None:
-        """Write nothing more to this address: it may be another member's by then."""
+        """End the waiting attempts: the address may belong to another member by the time of a write."""
         self.draining = True
         self.end_waiting(AttemptStatus.OUTDATED)
         self.pool.close_idle(self.draining)
 
     def end_waiting(self, status: AttemptStatus) -> None:
-        """Report one result for each attempt that waits."""
+        """Report a result with this status for each waiting attempt."""
         while self.waiting_attempts:
             self.report_result(AttemptResult(self.waiting_attempts.popleft(), status))
 
     def dispatch_waiting(self) -> None:
-        """Assign waiting attempts to connections with room, and open further connections for the others."""
+        """Assign waiting attempts to connections that accept them, and open connections for the others."""
         still_waiting: deque[Attempt] = deque()
-        self.has_waiting = True  # before the look at the connections, or room made since would be missed
+        self.has_waiting = (
+            True  # set before the connections are checked, or a slot released since would be missed
+        )
         connecting = -1
         while self.waiting_attempts:
             attempt = self.waiting_attempts.popleft()
--- a/lupintack/peers/platform_wire.py
+++ b/lupintack/peers/platform_wire.py
@@ -1,6 +1,6 @@
-"""The platform's protocol to members: attempts as commands, and answers as the core takes them.
+"""The platform's protocol to members: encodes attempts as commands and parses answers for the core.
 
-The one module that knows the names of its commands, fields and words.
+The names of the protocol's commands, fields and values occur only in this module.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 ANSWER_STRINGS = 4
 HEALTH_CHECK_ANSWER_STRINGS = (2, 4)
 HEALTH_CHECK_WORDS = (b"yes", b"no")
-MAX_ERROR_TEXT_CHARACTERS = 200  # characters of an answer in an error's text
+MAX_ERROR_TEXT_CHARACTERS = 200  # error texts that quote an answer are cut to this
 
 WIRE_ID = re.compile(rb"[0-9a-f]{16}")
 HEALTH_CHECK_TAG = re.compile(rb"\d{1,20}")
@@ -43,21 +43,21 @@
     """A field's value is not what the protocol allows."""
 
     def __init__(self, field: str, value: object, expected: str) -> None:
-        """Name the field, its value and what is expected there."""
+        """`expected`: a description of valid values."""
         super().__init__(f"field {field!r} is not {expected}: {value!r}"[:MAX_ERROR_TEXT_CHARACTERS])
         self.field = field
         self.value = value
 
 
 class Flags(NamedTuple):
-    """What an attempt may do at its member."""
+    """Options of an attempt at its member."""
 
     coalesce: bool
     only_if_cached: bool
     revalidate: bool
 
     def encode(self) -> str:
-        """Return them as the value of the field `f`, empty for none."""
+        """Return the value of the field `f`, empty for none."""
         words = zip(("wait-for", "no-fetch", "background"), self, strict=True)
         return "+".join(word for word, is_on in words if is_on)
 
@@ -72,7 +72,7 @@
 
 
 def encode_attempt(attempt: Attempt, now_us: int) -> bytes:
-    """Return the command that makes the attempt; its limit is what is left of the client's wait."""
+    """Return the command of an attempt; its limit is the time left until the client's deadline."""
     request = attempt.request
     limit_ms = max(1, (request.deadline_us - now_us) // 1000)
     fields = f"cls={attempt.class_name},item={request.item},chunk={request.part},limit={limit_ms}"
@@ -81,7 +81,7 @@
     if attempt.retention_priority:
         fields += f",prio={attempt.retention_priority}"
     if attempt.max_age_ms > 0:
-        # Rounded down, and never to 0, which would stand for the whole fresh time.
+        # Rounded down, but not to 0, which would mean the whole freshness lifetime.
         fields += f",within={max(1, math.floor(attempt.max_age_ms))}"
     flags = ENCODED_FLAGS[attempt.coalesce, attempt.only_if_cached, attempt.revalidate]
     if flags:
@@ -101,30 +101,30 @@
 
 
 def encode_health_check(now_us: int) -> bytes:
-    """Return the command that asks whether the connection works; its tag is the time."""
+    """Return a health check of the connection, with the time as its tag."""
     return resp.encode_command(b"there", b"%d" % now_us)
 
 
 def parse_answer(
     parts: list[bytearray], request: ClientRequest, load_report_fields: tuple[str, ...], clock: CopyClock
 ) -> tuple[AttemptStatus, Answer]:
-    """Return what the strings id, word, fields and body say; raise FrameError for any that can't be read.
+    """Parse an answer of the strings id, word, fields and body; raise FrameError if any is invalid.
 
-    Guards against spoilt answers: what does not fit the protocol in one place is not to be trusted in any,
-    and a tag with noise in it would come into the head of the client's answer.
+    A corrupted answer is rejected as a whole: if one part violates the protocol, the others cannot be trusted
+    either, and a corrupted tag would be sent in the head of the client's answer.
     """
     status = STATUSES.get(bytes(parts[1]))
     if status is None:
-        raise FrameError(f"an answer of {bytes(parts[1][:16])!r}")
+        raise FrameError(f"unknown answer word {bytes(parts[1][:16])!r}")
     fields = resp.parse_fields(parts[2])
     if not FIELD_NAMES.issuperset(fields):
-        raise FrameError(f"fields of {sorted(fields)!r}"[:MAX_ERROR_TEXT_CHARACTERS])
+        raise FrameError(f"unknown field among {sorted(fields)!r}"[:MAX_ERROR_TEXT_CHARACTERS])
     tag, issued_ms = parse_copy(fields)
     needs_copy = status in STATUSES_WITH_COPY and not request.is_write
     if needs_copy and not (tag and issued_ms and clock.observe(issued_ms * 1000, now_us())):
-        raise FrameError(f"a copy without a tag and a plausible time: {tag!r}, {issued_ms}")
+        raise FrameError(f"copy without a tag or a plausible time: {tag!r}, {issued_ms}")
     if status is AttemptStatus.NOT_MODIFIED and not confirms_cached(request, tag, parts[3]):
-        raise FrameError("confirms a copy that the client does not have")
+        raise FrameError("not-modified answer for a copy that the client does not have")
     return status, Answer(
         body=parts[3],
         tag=tag,
@@ -136,7 +136,7 @@
 
 
 def parse_copy(fields: dict[str, str]) -> tuple[str, int]:
-    """Return entity tag and Unix time in ms of a copy: empty and 0 where the answer has none."""
+    """Return the entity tag and the Unix time in ms of a copy; empty and 0 if the answer has none."""
     tag, issued = fields.get("entity", ""), fields.get("issued", "0")
     if tag and not ENTITY_TAG.fullmatch(tag):
         raise InvalidFieldError("entity", tag, "an entity tag")
@@ -146,12 +146,12 @@
 
 
 def confirms_cached(request: ClientRequest, tag: str, body: bytearray) -> bool:
-    """Return whether a not-modified answer names the client's own copy, and has no body."""
+    """Return whether a not-modified answer has the tag of the client's copy, and no body."""
     return bool(request.cached_tag) and tag == request.cached_tag and not body
 
 
 def parse_cache_status(fields: dict[str, str]) -> CacheStatus:
-    """Return how the member came by its copy; UNKNOWN where it does not say."""
+    """Return the cache status in an answer, UNKNOWN if it has none."""
     if "tell" not in fields:
         return CacheStatus.UNKNOWN
     status = CACHE_STATUSES.get(fields["tell"])
@@ -161,7 +161,7 @@
 
 
 def parse_number(field: str, text: str) -> float:
-    """Return a field's number, which must be finite and not negative."""
+    """Return a field's number; raise InvalidFieldError unless it is finite and not negative."""
     try:
         value = float(text)
     except ValueError:
@@ -172,7 +172,7 @@
 
 
 def parse_load_report(text: str, names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return a load report's values in the settings' order, none where it lacks one."""
+    """Return a load report's values in the order of the settings, or none if one is missing."""
     if not text:
         return ()
     values = resp.parse_fields(text.encode(), ";", ":")
@@ -182,10 +182,10 @@
 
 
 def is_health_check_answer(parts: list[bytearray]) -> bool:
-    """Return whether this answers a health check: its tag, `yes` or `no`, and perhaps `-` and no body.
+    """Return whether this answers a health check: its tag, `yes` or `no`, and optionally `-` and no body.
 
-    A member that says no, as one without room for a health check, has shown as well that the connection
-    works. Read as a bad frame it would end that connection, with all attempts on it.
+    A `no`, for instance from a member without capacity for a health check, also shows that the connection
+    works. Handled as a bad frame, it would end the connection and all attempts on it.
     """
     if len(parts) not in HEALTH_CHECK_ANSWER_STRINGS or bytes(parts[1]) not in HEALTH_CHECK_WORDS:
         return False
--- a/lupintack/peers/resp.py
+++ b/lupintack/peers/resp.py
@@ -1,4 +1,4 @@
-"""RESP as members speak it: arrays of bulk strings. Bounds hold before memory is taken."""
+"""RESP, limited to arrays of bulk strings. Lengths are checked before memory is allocated."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lupintack import sockets
 
 MAX_LENGTH_LINE_BYTES = 64
-MAX_TEXT_BYTES = 8192  # id, word or fields
+MAX_TEXT_BYTES = 8192  # of an id, a word or the fields
 MAX_BODY_BYTES = 240_000
 MAX_STRINGS = 8
-LEADING_TEXT_STRINGS = 3  # the first so many strings of an array are texts, those behind them bodies
+LEADING_TEXT_STRINGS = 3  # the strings of an array after these are bodies
 READ_BYTES = 65536
-STALL_TIMEOUT_S = 0.5  # an array that has begun and brings nothing more for so long has stopped short
+STALL_TIMEOUT_S = 0.5  # without data within an array; ends the connection
 LINE_END = b"\r\n"
 
 
@@ -23,7 +23,7 @@
 
 
 class EndOfStreamError(EOFError):
-    """The other side has closed."""
+    """The other side has closed the connection."""
 
 
 def encode_command(*strings: bytes) -> bytes:
@@ -39,12 +39,12 @@
 class Reader:
     """Reads arrays of bulk strings from a blocking socket; one thread uses it.
 
-    Each method raises FrameError for bytes that the protocol does not allow, EndOfStreamError where the other
-    side has closed, and OSError as the socket does.
+    Each method raises FrameError for bytes that the protocol does not allow, EndOfStreamError if the other
+    side has closed the connection, and OSError as the socket does.
     """
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take the socket; its receive timeout bounds the wait for the rest of an array."""
+        """`sock`: its receive timeout bounds the wait for the rest of an array."""
         self.sock = sock
         self.buffer = bytearray()
         self.position = 0
@@ -61,7 +61,7 @@
         ]
 
     def read_more(self) -> None:
-        """Wait for bytes; a timeout of the socket ends an array that has begun."""
+        """Wait for data; raise FrameError if the socket times out within an array."""
         if self.position:
             del self.buffer[: self.position]
             self.position = 0
@@ -71,7 +71,7 @@
                 break
             except BlockingIOError:
                 if self.in_array or self.buffer:
-                    raise FrameError("an array stops short") from None
+                    raise FrameError("incomplete array") from None
         if not data:
             raise EndOfStreamError()
         self.buffer += data
@@ -80,15 +80,15 @@
         """Return the length on a line that begins with `prefix`."""
         while (end := self.buffer.find(LINE_END, self.position)) < 0:
             if len(self.buffer) - self.position > MAX_LENGTH_LINE_BYTES:
-                raise FrameError("a length line is too long")
+                raise FrameError("length line too long")
             self.read_more()
         line = bytes(self.buffer[self.position : end])
         self.position = end + len(LINE_END)
         if line[:1] != prefix or not line[1:].isdigit() or len(line) > MAX_LENGTH_LINE_BYTES:
-            raise FrameError(f"{prefix.decode()} and a length are expected, not {line[:16]!r}")
+            raise FrameError(f"expected {prefix.decode()} and a length, not {line[:16]!r}")
         length = int(line[1:])
         if length > maximum:
-            raise FrameError(f"a length of {length}, at most {maximum} is allowed")
+            raise FrameError(f"length {length} exceeds the maximum {maximum}")
         return length
 
     def read_string(self, maximum: int) -> bytearray:
@@ -110,15 +110,15 @@
         return string
 
     def receive_rest(self, string: bytearray, received: int) -> None:
-        """Fill a string from the socket, behind the bytes that were received before."""
+        """Fill the rest of a string from the socket; `received`: bytes that it already has."""
         length = len(string)
         with memoryview(string) as view:
             while received < length:
-                # One call for the whole string: each return to Python costs a wait for the interpreter.
+                # One call for the whole string: each return to Python waits for the interpreter lock.
                 try:
                     count = self.sock.recv_into(view[received:], length - received, socket.MSG_WAITALL)
                 except BlockingIOError:
-                    raise FrameError("a bulk string stops short") from None
+                    raise FrameError("incomplete bulk string") from None
                 except OSError as error:
                     if not sockets.is_transient(error):
                         raise
@@ -130,13 +130,13 @@
 
 
 def check_line_end(data: bytearray) -> None:
-    """Raise FrameError where a string does not end with its line."""
+    """Raise FrameError unless the bytes after a string are a line end."""
     if data != LINE_END:
-        raise FrameError("a bulk string runs past its length")
+        raise FrameError("no line end after a bulk string")
 
 
 def parse_fields(raw: bytes | bytearray, separator: str = ",", assignment: str = "=") -> dict[str, str]:
-    """Return the fields of `name=value,name=value`; `-` and nothing stand for none."""
+    """Return the fields of `name=value,name=value`; `-` and an empty text mean none."""
     text = raw.decode("latin-1")
     if text in ("-", ""):
         return {}
@@ -144,6 +144,6 @@
     for part in text.split(separator):
         name, mark, value = part.partition(assignment)
         if not mark:
-            raise FrameError(f"a field without {assignment}: {part[:32]!r}")
+            raise FrameError(f"field without {assignment}: {part[:32]!r}")
         fields[name] = value
     return fields
--- a/lupintack/simulator_adapter.py
+++ b/lupintack/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many independent instances of the decisions on standard input and output, for the simulator."""
+"""Runs many independent instances of the decision code for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class Instances:
-    """The instances of this process, by their numbers."""
+    """The instances of this process by number."""
 
     def __init__(self) -> None:
-        """Start without any instance."""
+        """Start without instances."""
         self.decoder = simulator_wire.Decoder()
         self.routers: dict[int, Router] = {}
 
     def handle_batch(self, body: bytes, count: int, now_ms: float) -> bytes:
-        """Hand each instance its events, run by run, and return the encoded actions."""
+        """Pass consecutive events of an instance to it in one call, and return the encoded actions."""
         replies: list[tuple[int, list[Action | InstanceFailed]]] = []
         batch: list[Event] = []
         current_instance = -1
@@ -44,7 +44,7 @@
     def _handle_events(
         self, instance: int, now_ms: float, events: list[Event]
     ) -> list[tuple[int, list[Action | InstanceFailed]]]:
-        """Return an instance's actions, or that it failed; events for an unknown instance are dropped."""
+        """Return an instance's actions, or its failure; drop events for an unknown instance."""
         router = self.routers.get(instance)
         if router is None or not events:
             return []
@@ -57,7 +57,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch until the input ends; SimulatorWireError or SettingsError for malformed input."""
+    """Answer batches until the input ends; raise SimulatorWireError or SettingsError for malformed input."""
     instances = Instances()
     while header := source.read(simulator_wire.HEADER.size):
         if len(header) < simulator_wire.HEADER.size:
@@ -71,7 +71,7 @@
 
 
 def main() -> int:
-    """Run until the input ends; malformed input ends it with one line and code 2."""
+    """Run until the input ends; for malformed input, print one line and return exit code 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (SimulatorWireError, SettingsError) as error:
--- a/lupintack/simulator_wire.py
+++ b/lupintack/simulator_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of the simulator's wire: bytes to events, actions to bytes, and nothing else."""
+"""Codec of the simulator's wire: decodes events and encodes actions."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class SimulatorWireError(ValueError):
-    """The bytes are not what the wire allows."""
+    """The bytes violate the wire format."""
 
 
 @dataclass(slots=True, frozen=True)
 class InstanceStarted:
-    """An instance comes up."""
+    """An instance has started."""
 
     seed: int
     settings: bytes
@@ -61,12 +61,12 @@
 
 @dataclass(slots=True)
 class Decoder:
-    """Reads batches; keeps the numbered lists, which the wire shares among the instances of a process."""
+    """Decodes batches; keeps the numbered member lists, which all instances of a process share."""
 
     lists: dict[int, tuple[i.Member, ...]] = field(default_factory=dict)
 
     def events(self, body: bytes, count: int) -> Iterator[tuple[int, InstanceEvent]]:
-        """Yield (instance, event) for each record of a batch; SimulatorWireError for a bad one."""
+        """Yield (instance, event) for each event; raise SimulatorWireError for an invalid record."""
         tail_start = count * EVENT_SIZE
         if tail_start > len(body):
             raise SimulatorWireError(f"{count} records do not fit in {len(body)} bytes")
@@ -78,7 +78,7 @@
             elif code == _LIST_ENTRIES_CODE:
                 self._read_list(body, position + 1, tail_start)
             elif instance < 0:
-                raise SimulatorWireError("a record before the instance that it is for")
+                raise SimulatorWireError("event record before any instance record")
             else:
                 yield instance, self._event(code, body, position + 1, tail_start)
 
@@ -107,7 +107,7 @@
         if kind == i.ListKind.FAILED:
             return i.MemberList(i.ListKind.FAILED)
         if number not in self.lists:
-            raise SimulatorWireError(f"list {number} was never sent")
+            raise SimulatorWireError(f"unknown list {number}")
         return i.MemberList(i.ListKind(kind), self.lists[number], version)
 
 
@@ -193,7 +193,7 @@
     10: _instance_stopped,
     11: _purged,
 }
-"""By the code of an event's record: a function of the batch, the record's place and the tail's."""
+"""By the code of an event: a function of the body, the position after the code, and the start of the tail."""
 
 
 def _slice(body: bytes, tail_start: int, offset: int, length: int) -> bytes:
@@ -222,7 +222,7 @@
 
 
 def encode(batches: list[tuple[int, list[i.Action | InstanceFailed]]]) -> bytes:
-    """Return one reply: the actions of each instance, in order."""
+    """Return the reply to a batch: the actions of each instance, in order."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in batches:
@@ -234,7 +234,7 @@
 
 
 def _encode_action(action: i.Action | InstanceFailed, tail: bytearray) -> bytes:
-    """Return an action's record; a text goes to the tail. Raises TypeError for what the wire doesn't have."""
+    """Return an action's record, and append its text to the tail; raise TypeError for an unknown action."""
     match action:
         case i.Fetch():
             return _fetch_record(action)
@@ -284,7 +284,7 @@
 
 
 def _member_prefix(member: int) -> str:
-    """Return the address of a log line's member, or nothing for a line without one."""
+    """Return the prefix of a log line with a member's address, empty for no member."""
     if not member:
         return ""
     host = ".".join(str(byte) for byte in (member >> 16).to_bytes(6, "big")[-4:])
