--- a/lupintack/peers/resp.py
+++ b/lupintack/peers/resp.py
@@ -85,7 +85,7 @@
         line = bytes(self.buffer[self.position : end])
         self.position = end + len(LINE_END)
         if line[:1] != prefix or not line[1:].isdigit() or len(line) > MAX_LENGTH_LINE_BYTES:
-            raise FrameError(f"expected {prefix.decode()} and a length, not {line[:16]!r}")
+            raise FrameError(f"{prefix.decode()} and a length expected, not {line[:16]!r}")
         length = int(line[1:])
         if length > maximum:
             raise FrameError(f"length {length} exceeds the maximum {maximum}")
--- a/lupintack/simulator_wire.py
+++ b/lupintack/simulator_wire.py
@@ -107,7 +107,7 @@
         if kind == i.ListKind.FAILED:
             return i.MemberList(i.ListKind.FAILED)
         if number not in self.lists:
-            raise SimulatorWireError(f"unknown list {number}")
+            raise SimulatorWireError(f"list {number} is unknown")
         return i.MemberList(i.ListKind(kind), self.lists[number], version)
 
 
