--- a/tests/recordings.py
+++ b/tests/recordings.py
@@ -1,4 +1,4 @@
-"""Reads recorded data, and puts values into the plain form in which it holds them."""
+"""Reads recorded test data, and converts values to the plain form in which it is stored."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 def as_text(data: bytes | bytearray | memoryview) -> str:
-    """Return bytes as text, a character for each byte."""
+    """Return bytes as text, one character per byte."""
     return bytes(data).decode("latin-1")
 
 
 def as_bytes(text: str) -> bytes:
-    """Return the bytes that `as_text` made text of."""
+    """Return bytes from their text form; the inverse of `as_text`."""
     return text.encode("latin-1")
 
 
 def plain(value: Any, named: bool = False) -> Any:
-    """Return a record as JSON would hold it; `named`: by its fields' names, else by their order."""
+    """Return a value as JSON data; a dataclass becomes a list of its fields, with `named` an object."""
     if is_dataclass(value):
         values = {field.name: plain(getattr(value, field.name), named) for field in fields(value)}
         return values if named else list(values.values())
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""The themed names of each wire and of the settings appear only in the modules that translate them."""
+"""Names that belong to a wire or to the settings occur only in the modules that translate them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 import lupintack
 
 PACKAGE = Path(lupintack.__file__).parent
-# These play the other side of the wires: stand-ins, the hollow fleet's discovery, and clients.
-OTHER_SIDES = ("standins", "scale", "client", "cli/demo.py")
+# Implement the other side of a wire: stand-ins, discovery of the hollow fleet, and clients.
+COUNTERPARTS = ("standins", "scale", "client", "cli/demo.py")
 TOKEN = re.compile(r"[A-Za-z][\w-]*")
 
 
 class Wire(NamedTuple):
-    """One wire's themed names.
+    """The names of one wire, and the modules that may use them.
 
-    `tokens` may not stand in any string, nor be an identifier; `literals`, which are words of plain English,
-    too, may not be a whole string.
+    Elsewhere, `tokens` may occur neither in strings nor as identifiers. `literals` are also plain English
+    words: they may not be a whole string.
     """
 
     modules: tuple[str, ...]
@@ -47,7 +47,7 @@
         words("nth /alive /ops/"),
     ),
     "discovery": Wire(
-        # The client reads the number of a line and the start's notices itself.
+        # The configuration contains the initial log, with its revision and notices.
         ("discovery/events.py", "discovery/client.py", "config.py"),
         words("notices"),
         words("rev pool seq flush asset collection dial block born_ms Ready Terminating Gone"),
@@ -75,12 +75,12 @@
         words("relay bounce lose withdraw sample release announce submit voided"),
     ),
 }
-# Identifiers that are spelt like a themed name and are terms of the field.
-TERMS_OF_THE_FIELD = frozenset({"max_streams", "client_kb_per_s"})
+# Terms of the field that are also names of a wire
+ALLOWED_IDENTIFIERS = frozenset({"max_streams", "client_kb_per_s"})
 
 
-def docstrings(tree: ast.AST) -> set[int]:
-    """Return the identities of the nodes that are docstrings, or text beside a constant."""
+def docstring_nodes(tree: ast.AST) -> set[int]:
+    """Return the ids of the nodes that are docstrings of definitions or constants."""
     return {
         id(node.value)
         for node in ast.walk(tree)
@@ -89,10 +89,10 @@
 
 
 def strings(tree: ast.AST) -> Iterator[tuple[int, str]]:
-    """Yield line and text of each string and bytes literal that is not a docstring."""
-    passed_over = docstrings(tree)
+    """Yield the line and text of each string or bytes literal that is not a docstring."""
+    docstring_ids = docstring_nodes(tree)
     for node in ast.walk(tree):
-        if not isinstance(node, ast.Constant) or id(node) in passed_over:
+        if not isinstance(node, ast.Constant) or id(node) in docstring_ids:
             continue
         if isinstance(node.value, bytes):
             yield node.lineno, node.value.decode("latin-1")
@@ -101,7 +101,7 @@
 
 
 def identifiers(tree: ast.AST) -> Iterator[tuple[int, str]]:
-    """Yield line and name of each identifier."""
+    """Yield the line and name of each identifier."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Name):
             yield node.lineno, node.id
@@ -115,16 +115,16 @@
             yield node.lineno, node.arg
 
 
-def themed(tree: ast.AST, wire: Wire) -> list[str]:
-    """Return where a module has names of a wire."""
+def wire_names_in(tree: ast.AST, wire: Wire) -> list[str]:
+    """Return the occurrences of a wire's names in a module."""
     names = {token.replace("-", "_") for token in wire.tokens}
-    names -= TERMS_OF_THE_FIELD
-    found = [
+    names -= ALLOWED_IDENTIFIERS
+    occurrences = [
         f"{line}: {text!r}"
         for line, text in strings(tree)
         if text in wire.literals or wire.tokens & {token.lower() for token in TOKEN.findall(text)}
     ]
-    return found + [
+    return occurrences + [
         f"{line}: {identifier}"
         for line, identifier in identifiers(tree)
         if identifier.strip("_").lower() in names
@@ -132,29 +132,29 @@
 
 
 def modules() -> Iterator[tuple[str, ast.AST]]:
-    """Yield path and syntax tree of each module that is not the other side of a wire."""
+    """Yield the path and syntax tree of each module that does not implement the other side of a wire."""
     for path in sorted(PACKAGE.rglob("*.py")):
         name = str(path.relative_to(PACKAGE))
-        if name not in OTHER_SIDES and name.split("/")[0] not in OTHER_SIDES:
+        if name not in COUNTERPARTS and name.split("/")[0] not in COUNTERPARTS:
             yield name, ast.parse(path.read_text())
 
 
 @pytest.mark.parametrize("wire", WIRES.values(), ids=WIRES.keys())
-def test_names_of_a_wire_stay_in_its_modules(wire: Wire) -> None:
-    found = [
-        f"{name}:{place}"
+def test_names_of_a_wire_occur_only_in_its_modules(wire: Wire) -> None:
+    occurrences = [
+        f"{name}:{occurrence}"
         for name, tree in modules()
         if name not in wire.modules
-        for place in themed(tree, wire)
+        for occurrence in wire_names_in(tree, wire)
     ]
-    assert not found, "\n".join(found)
+    assert not occurrences, "\n".join(occurrences)
 
 
-# The simulator's wire has codes for its names, which stand in no module as words.
+# The simulator's wire encodes names as numbers, so that its names occur in no module.
 @pytest.mark.parametrize("wire", [wire for name, wire in WIRES.items() if name != "simulator"])
-def test_each_listed_name_is_one_that_the_modules_of_its_wire_know(wire: Wire) -> None:
+def test_every_listed_name_occurs_in_the_modules_of_its_wire(wire: Wire) -> None:
     trees = [ast.parse((PACKAGE / name).read_text()) for name in wire.modules]
     texts = [text.lower() for tree in trees for _, text in strings(tree)]
-    known = {token for text in texts for token in TOKEN.findall(text)}
-    unknown = [word for word in wire.tokens | wire.literals if word.strip("/").lower() not in known]
-    assert not unknown
+    present = {token for text in texts for token in TOKEN.findall(text)}
+    missing = [word for word in wire.tokens | wire.literals if word.strip("/").lower() not in present]
+    assert not missing
--- a/tests/test_wire_recordings.py
+++ b/tests/test_wire_recordings.py
@@ -1,4 +1,4 @@
-"""The bytes on each wire are those of the recorded version, and what it read from them is read the same."""
+"""Encoded and decoded messages on each wire match those recorded with an earlier version."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
 ROUTERS = recorded("wires/routers.json")
 EXCHANGE = recorded("wires/router_exchange.json")
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 LOOPBACK = "127.0.0.1"
-TAKEN_FIELDS = (
+REQUEST_FIELDS = (
     "wire_id", "class_index", "item", "object_id", "part", "group", "is_retry", "is_write", "body",
     "cached_tag", "idempotency_key", "size_kb", "class_name",
 )  # fmt: skip
@@ -62,19 +62,19 @@
 
 
 def spawn(call: Callable[[], None], name: str) -> None:
-    """Run a call on a thread of its own."""
+    """Run a function on a new thread."""
     threading.Thread(target=call, name=name, daemon=True).start()
 
 
 def ignore(name: str) -> None:
-    """Count nothing."""
+    """Ignore a counter."""
 
 
-# Stand-ins of what lies behind a front
+# Stand-ins for the components behind a front
 
 
 class RecordingCore:
-    """Answers each request at once, as the last digit of its object says, and keeps what the front read."""
+    """Records requests, and answers each immediately as the last hex digit of its object id determines."""
 
     def __init__(self) -> None:
         classes = (
@@ -84,15 +84,15 @@
         )
         self.settings = SimpleNamespace(classes=classes)
         self.counters = SimpleNamespace(increment=ignore)
-        self.taken: list[dict[str, Any]] = []
+        self.submitted: list[dict[str, Any]] = []
 
     def submit(self, request: ClientRequest) -> None:
-        """Record a request, and answer it."""
-        found = {name: plain(getattr(request, name)) for name in TAKEN_FIELDS}
+        """Record a request and answer it."""
+        fields = {name: plain(getattr(request, name)) for name in REQUEST_FIELDS}
         sink = request.sink
         if isinstance(sink, ClientSink):
-            found["wait_us"] = request.deadline_us - sink.exchange.request.received_us
-        self.taken.append(found)
+            fields["wait_us"] = request.deadline_us - sink.exchange.request.received_us
+        self.submitted.append(fields)
         kind = request.object_id % 16
         if kind == 1:
             sink.serve(Answer(b"BODY\x00\xff", "v1", 5), False)
@@ -111,7 +111,7 @@
 
 
 class RecordingMembers:
-    """Keeps the purges that a front asks for."""
+    """Records the purges that a front requests."""
 
     def __init__(self) -> None:
         self.purges: list[list[Any]] = []
@@ -119,61 +119,63 @@
     def purge(
         self, object_id: int | None, group: int, unix_ms: float | None, done: Callable[[], None] | None = None
     ) -> None:
-        """Record a purge, which is in force at once."""
+        """Record a purge, and report it as in force immediately."""
         self.purges.append([object_id, group, unix_ms])
         if done is not None:
             done()
 
 
-class AnsweringDesk:
-    """Answers the operators' calls by their names."""
+class StubAdminService:
+    """Answers each operator call with a fixed result that contains its name."""
 
     def ready(self) -> AdminResult:
-        """Return a yes."""
+        """Return a success."""
         return AdminResult(200, "ready")
 
     def exclude(self, name: str) -> AdminResult:
-        """Return a yes, but for one name."""
+        """Return a success, or 404 for the name `none`."""
         return AdminResult(404, "no such cache") if name == "none" else AdminResult(200, f"exclude {name}")
 
     def include(self, name: str) -> AdminResult:
-        """Return a yes."""
+        """Return a success."""
         return AdminResult(200, f"include {name}")
 
     def evacuate(self) -> AdminResult:
-        """Return that it has begun."""
+        """Return that the call was accepted."""
         return AdminResult(202, "evacuate")
 
     def rejoin(self) -> AdminResult:
-        """Return a no."""
+        """Return a conflict."""
         return AdminResult(409, "rejoin")
 
 
 # Connections
 
 
-def served_port(handle: Callable[[Exchange], None], max_body_bytes: int, bodyless: bool = False) -> int:
-    """Return the port of a new HTTP/1.1 server."""
+def start_http1_server(
+    handle: Callable[[Exchange], None], max_body_bytes: int, bodyless: bool = False
+) -> int:
+    """Start an HTTP/1.1 server and return its port."""
     server = Http1Server((LOOPBACK, 0), handle, spawn, ignore, 8, max_body_bytes, bodyless=bodyless)
     server.open()
     spawn(server.run, "recorded server")
     return int(server.sock.getsockname()[1])
 
 
-def response(port: int, request: bytes) -> bytes:
-    """Return all bytes of a connection on which a request was sent, up to its end."""
+def exchange_http1(port: int, request: bytes) -> bytes:
+    """Send a request on a new connection and return all data received until it ends."""
     received = b""
-    with socket.create_connection((LOOPBACK, port), timeout=PATIENCE_S) as sock:
+    with socket.create_connection((LOOPBACK, port), timeout=TIMEOUT_S) as sock:
         sock.sendall(request)
         while data := sock.recv(65536):
             received += data
     return received
 
 
-def http2_response(port: int, request: bytes) -> bytes:
-    """Return a server's bytes up to the end of stream 1, or of the connection."""
+def exchange_http2(port: int, request: bytes) -> bytes:
+    """Send a request and return the data received until the end of stream 1 or of the connection."""
     received, position = b"", 0
-    with socket.create_connection((LOOPBACK, port), timeout=PATIENCE_S) as sock:
+    with socket.create_connection((LOOPBACK, port), timeout=TIMEOUT_S) as sock:
         sock.sendall(request)
         while True:
             while len(received) - position >= HTTP2_HEAD_BYTES:
@@ -192,8 +194,8 @@
             received += data
 
 
-def array(data: bytes) -> list[bytearray]:
-    """Return the strings of one array."""
+def parse_array(data: bytes) -> list[bytearray]:
+    """Return the strings of one encoded array."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
         theirs.sendall(data)
@@ -203,8 +205,8 @@
 # Caches, parents and the origin
 
 
-def attempt(case: dict[str, Any]) -> Attempt:
-    """Return the attempt that a recorded command makes."""
+def recorded_attempt(case: dict[str, Any]) -> Attempt:
+    """Return the attempt of a recorded command."""
     request = ClientRequest(
         wire_id=case["wire_id"],
         class_index=0,
@@ -237,26 +239,26 @@
 
 
 @pytest.mark.parametrize("case", REQUESTS["wants"], ids=lambda case: str(case["name"]))
-def test_an_attempt_is_written_as_before(case: dict[str, Any]) -> None:
-    assert as_text(platform_wire.encode_attempt(attempt(case), case["now_us"])) == case["bytes"]
+def test_attempt_command_matches_recording(case: dict[str, Any]) -> None:
+    assert as_text(platform_wire.encode_attempt(recorded_attempt(case), case["now_us"])) == case["bytes"]
 
 
-def test_a_connection_writes_attempts_a_cancel_and_a_health_check_as_before() -> None:
+def test_attempts_cancel_and_health_check_on_a_connection_match_recording() -> None:
     clock_us = [int(REQUESTS["now_us"])]
     plain_case, second_case = REQUESTS["wants"][0], dict(REQUESTS["wants"][1], wire_id="00000000000000a2")
-    first, second = attempt(plain_case), attempt(second_case)
+    first, second = recorded_attempt(plain_case), recorded_attempt(second_case)
     expected = as_bytes(REQUESTS["connection"]["bytes"])
     received = b""
     listener = socket.create_server((LOOPBACK, 0))
     with listener, ExitStack() as patches:
         for module in (connection, connection_pool, peer):
             patches.enter_context(mock.patch.object(module, "now_us", lambda: clock_us[0]))
-        terms = PeerConfig(32, 1_000_000, 10_000_000, ("busy_reqs", "cpu_share"))
-        member = peer.Peer("c1", listener.getsockname(), terms, lambda result: None, spawn)
+        config = PeerConfig(32, 1_000_000, 10_000_000, ("busy_reqs", "cpu_share"))
+        member = peer.Peer("c1", listener.getsockname(), config, lambda result: None, spawn)
         member.send(first)
         sock, _ = listener.accept()
         with sock:
-            sock.settimeout(PATIENCE_S)
+            sock.settimeout(TIMEOUT_S)
             received += sock.recv(65536)
             member.send(second)
             received += sock.recv(65536)
@@ -274,26 +276,28 @@
 
 
 @pytest.mark.parametrize("case", ANSWERS["answers"], ids=lambda case: str(case["name"]))
-def test_an_answer_is_read_as_before(case: dict[str, Any]) -> None:
+def test_parsed_answer_matches_recording(case: dict[str, Any]) -> None:
     request = cast(ClientRequest, SimpleNamespace(is_write=case["is_write"], cached_tag=case["cached_tag"]))
-    parts, clock = array(as_bytes(case["bytes"])), CopyClock(ANSWERS["unix_offset_us"])
+    parts, clock = parse_array(as_bytes(case["bytes"])), CopyClock(ANSWERS["unix_offset_us"])
     with mock.patch.object(platform_wire, "now_us", lambda: ANSWERS["now_us"]):
         if case["status"] == "FrameError":
             with pytest.raises(resp.FrameError):
                 platform_wire.parse_answer(parts, request, tuple(ANSWERS["reports"]), clock)
             return
-        status, found = platform_wire.parse_answer(parts, request, tuple(ANSWERS["reports"]), clock)
+        status, answer = platform_wire.parse_answer(parts, request, tuple(ANSWERS["reports"]), clock)
     assert status.name == case["status"]
-    assert plain(found, named=True) == case["answer"]
+    assert plain(answer, named=True) == case["answer"]
 
 
 @pytest.mark.parametrize("case", ANSWERS["probe_answers"], ids=lambda case: repr(case["bytes"]))
-def test_an_answer_to_a_health_check_is_known_as_before(case: dict[str, Any]) -> None:
-    assert platform_wire.is_health_check_answer(array(as_bytes(case["bytes"]))) is case["is_probe_answer"]
+def test_recognition_of_health_check_answers_matches_recording(case: dict[str, Any]) -> None:
+    assert (
+        platform_wire.is_health_check_answer(parse_array(as_bytes(case["bytes"]))) is case["is_probe_answer"]
+    )
 
 
 @pytest.mark.parametrize("case", ANSWERS["frames"], ids=lambda case: str(case["name"]))
-def test_arrays_are_read_and_refused_as_before(case: dict[str, Any]) -> None:
+def test_parsed_and_rejected_arrays_match_recording(case: dict[str, Any]) -> None:
     ours, theirs = socket.socketpair()
     theirs.sendall(as_bytes(case["bytes"]))
     theirs.close()
@@ -318,7 +322,7 @@
 
 @pytest.fixture(scope="module")
 def ready() -> list[bool]:
-    """Return whether the router says that it is ready."""
+    """Return a one-element list with the readiness that the front reports."""
     return [True]
 
 
@@ -331,7 +335,7 @@
 @pytest.fixture(scope="module")
 def http1_port(platform: Platform) -> int:
     """Return the port of the platform's front over HTTP/1.1."""
-    return served_port(platform.handle, 48_000)
+    return start_http1_server(platform.handle, 48_000)
 
 
 @pytest.fixture(scope="module")
@@ -347,21 +351,23 @@
 
 
 @pytest.mark.parametrize("case", HTTP1, ids=lambda case: str(case["name"]))
-def test_http1_requests_and_responses_are_as_before(
+def test_http1_requests_and_responses_match_recording(
     case: dict[str, Any], http1_port: int, core: RecordingCore, ready: list[bool]
 ) -> None:
-    core.taken.clear()
+    core.submitted.clear()
     ready[0] = case.get("ready", True)
-    assert as_text(response(http1_port, as_bytes(case["request"]))) == case["response"]
+    assert as_text(exchange_http1(http1_port, as_bytes(case["request"]))) == case["response"]
     ready[0] = True
-    assert core.taken == case["taken"]
+    assert core.submitted == case["taken"]
 
 
 @pytest.mark.parametrize("case", HTTP2, ids=lambda case: str(case["name"]))
-def test_http2_frames_are_as_before(case: dict[str, Any], http2_port: int, core: RecordingCore) -> None:
-    core.taken.clear()
-    assert http2_response(http2_port, bytes.fromhex(case["request"])).hex() == case["response"]
-    assert core.taken == case["taken"]
+def test_http2_requests_and_frames_match_recording(
+    case: dict[str, Any], http2_port: int, core: RecordingCore
+) -> None:
+    core.submitted.clear()
+    assert exchange_http2(http2_port, bytes.fromhex(case["request"])).hex() == case["response"]
+    assert core.submitted == case["taken"]
 
 
 # The second address
@@ -369,27 +375,29 @@
 
 @pytest.fixture(scope="module")
 def admin_ports() -> dict[str, int]:
-    """Return the ports of second addresses, with what a router knows of its fleet and without."""
-    desk = AnsweringDesk()
+    """Return the ports of two second addresses, with and without a fleet view."""
+    service = StubAdminService()
     return {
-        "with_fleet": served_port(Admin(desk, lambda: '{"routers": []}').handle, 4096, bodyless=True),
-        "without_fleet": served_port(Admin(desk).handle, 4096, bodyless=True),
+        "with_fleet": start_http1_server(
+            Admin(service, lambda: '{"routers": []}').handle, 4096, bodyless=True
+        ),
+        "without_fleet": start_http1_server(Admin(service).handle, 4096, bodyless=True),
     }
 
 
 @pytest.mark.parametrize("kind", sorted(SECOND_ADDRESS))
-def test_second_address_answers_as_before(kind: str, admin_ports: dict[str, int]) -> None:
+def test_second_address_answers_match_recording(kind: str, admin_ports: dict[str, int]) -> None:
     assert SECOND_ADDRESS[kind]
     for case in SECOND_ADDRESS[kind]:
-        found = as_text(response(admin_ports[kind], as_bytes(case["request"])))
-        assert found == case["response"], case["name"]
+        response = as_text(exchange_http1(admin_ports[kind], as_bytes(case["request"])))
+        assert response == case["response"], case["name"]
 
 
 # Other CDNs
 
 
 def answer_call(sock: socket.socket, address: tuple[str, int], calls: list[dict[str, Any]]) -> None:
-    """Read one request on a connection, record it, and send the recorded reply."""
+    """Read one request on a connection, record it and send the recorded reply."""
     received = b""
     while b"\r\n\r\n" not in received:
         received += sock.recv(65536)
@@ -406,8 +414,8 @@
     sock.close()
 
 
-def test_cdni_messages_are_as_before() -> None:
-    """One sequence: later messages depend on the triggers and metadata of earlier ones."""
+def test_cdni_messages_match_recording() -> None:
+    """The cases run in sequence: later ones depend on triggers and metadata of earlier ones."""
     calls: list[dict[str, Any]] = []
     core, members, connect = RecordingCore(), RecordingMembers(), socket.create_connection
 
@@ -420,32 +428,32 @@
 
     conf = cdni_conf.parse(tomllib.loads(CDNI["conf"]), "cdni.toml", tuple(CDNI["classes"]))
     front = CdniFront(conf, cast(Any, core), cast(Any, members), lambda: True, lambda call, name: None)
-    port = served_port(front.handle, 1 << 20)
+    port = start_http1_server(front.handle, 1 << 20)
     assert len(CDNI["cases"]) == 55
     with (
         mock.patch("socket.create_connection", connect_to_peer),
         mock.patch("time.time", lambda: CDNI["unix_s"]),
     ):
         for case in CDNI["cases"]:
-            del core.taken[:], calls[:], members.purges[:]
-            found = as_text(response(port, as_bytes(case["request"])))
+            del core.submitted[:], calls[:], members.purges[:]
+            response = as_text(exchange_http1(port, as_bytes(case["request"])))
             while not front.triggers.queue.empty():
                 front.triggers.execute(front.triggers.queue.get())
-            for request in core.taken:
+            for request in core.submitted:
                 request.pop("wait_us", None)
                 if "preposition" in case["name"]:
                     request["wire_id"] = "RANDOM"
-            seen = {
-                "response": found, "taken": core.taken, "calls": calls, "purges": members.purges,
+            actual = {
+                "response": response, "taken": core.submitted, "calls": calls, "purges": members.purges,
             }  # fmt: skip
-            assert seen == {key: case[key] for key in seen}, case["name"]
+            assert actual == {key: case[key] for key in actual}, case["name"]
 
 
 # Discovery
 
 
 @pytest.mark.parametrize("case", DISCOVERY["watches"], ids=lambda case: str(case["last"]))
-def test_a_watch_is_asked_for_as_before(case: dict[str, Any]) -> None:
+def test_watch_request_matches_recording(case: dict[str, Any]) -> None:
     table = mock.MagicMock(current=False, notified_us=0)
     names = Names(("map-tiles",), ("north", "south"), ("cache", "parent", "store"), ("busy_reqs",))
     with socket.create_server((LOOPBACK, 0)) as listener:
@@ -454,7 +462,7 @@
         client.start(spawn)
         sock, _ = listener.accept()
         with sock:
-            sock.settimeout(PATIENCE_S)
+            sock.settimeout(TIMEOUT_S)
             received = b""
             while not received.endswith(b"\n"):
                 received += sock.recv(100)
@@ -463,7 +471,7 @@
 
 
 @pytest.mark.parametrize("case", DISCOVERY["events"], ids=lambda case: str(case["notice"])[:60])
-def test_an_event_is_read_as_before(case: dict[str, Any]) -> None:
+def test_parsed_event_matches_recording(case: dict[str, Any]) -> None:
     names = Names(("map-tiles",), ("north", "south"), ("cache", "parent", "store"), ("busy_reqs",))
     if case["event"] is None:
         with pytest.raises(EventError):
@@ -476,7 +484,7 @@
 # Between routers
 
 
-# The fields of Message by their names in the recording.
+# Fields of Message by their names in the recording
 RECORDED_FIELDS = {
     "seq": "sequence",
     "view": "view_id",
@@ -492,7 +500,7 @@
 
 
 @pytest.mark.parametrize("case", ROUTERS["messages"], ids=lambda case: str(case["bytes"][:30]))
-def test_a_membership_message_is_as_before(case: dict[str, Any]) -> None:
+def test_membership_message_matches_recording(case: dict[str, Any]) -> None:
     values = {RECORDED_FIELDS.get(key, key): value for key, value in case["fields"].items()}
     values["receiver_seen"] = tuple(values.get("receiver_seen", (0, 0, -1)))
     values["records"] = [tuple(record) for record in values.get("records", [])]
@@ -504,7 +512,7 @@
 
 
 @pytest.mark.parametrize("case", ROUTERS["full_states"], ids=lambda case: str(case["view"]))
-def test_a_full_state_is_as_before(case: dict[str, Any]) -> None:
+def test_full_state_matches_recording(case: dict[str, Any]) -> None:
     records = [tuple(record) for record in case["records"]]
     message = FullState(tuple(case["sender"]), case["view"], cast(Any, records), case["answer"])
     assert router_codec().encode(message).hex() == case["bytes"]
@@ -512,7 +520,10 @@
 
 
 def budget_message(case: dict[str, Any]) -> Any:
-    """Return the message of a recorded datagram: a list of numbers is a row, one with a name an epoch."""
+    """Return the message of a recorded datagram.
+
+    A list that contains a string is an epoch, any other list a tuple.
+    """
     values = [
         value
         if not isinstance(value, list)
@@ -525,21 +536,21 @@
 
 
 @pytest.mark.parametrize("case", ROUTERS["budgets"], ids=lambda case: f"{case['kind']} {case['fields']}")
-def test_a_budget_message_is_as_before(case: dict[str, Any]) -> None:
+def test_budget_message_matches_recording(case: dict[str, Any]) -> None:
     codec, message = BudgetCodec(router_codec(), 2), budget_message(case)
     assert codec.encode("edge-1", "10.0.0.1:9092", message).hex() == case["bytes"]
     assert codec.decode(bytes.fromhex(case["bytes"])) == ("edge-1", "10.0.0.1:9092", message)
 
 
 @pytest.mark.parametrize("case", ROUTERS["two_levels"], ids=lambda case: f"{case['kind']} {case['level']}")
-def test_a_budget_message_of_two_levels_is_as_before(case: dict[str, Any]) -> None:
+def test_budget_message_of_two_levels_matches_recording(case: dict[str, Any]) -> None:
     codec, message = TwoLevelCodec(router_codec(), "north", 1, 2), budget_message(case)
     level = Level[case["level"]]
     assert codec.encode("edge-1", "10.0.0.1:9092", level, message).hex() == case["bytes"]
     assert tuple(codec.decode(bytes.fromhex(case["bytes"]))) == ("edge-1", "10.0.0.1:9092", level, message)
 
 
-def test_an_exchange_frames_messages_as_before() -> None:
+def test_framing_of_an_exchange_matches_recording() -> None:
     received: list[bytes] = []
     with socket.create_server((LOOPBACK, 0)) as peer, socket.create_server((LOOPBACK, 0)) as own:
         exchanges = ExchangeService(own, lambda frame: b"answer to " + frame)
@@ -547,19 +558,19 @@
         exchanges.begin_exchange(peer.getsockname(), b"a frame", received.append)
         sock, _ = peer.accept()
         with sock:
-            sock.settimeout(PATIENCE_S)
+            sock.settimeout(TIMEOUT_S)
             sent = b""
             while len(sent) < len(EXCHANGE["sent"]):
                 sent += sock.recv(100)
             sock.sendall(b"\0\0\0\3abc")
             eventually(lambda: bool(received))
-        with socket.create_connection(own.getsockname(), timeout=PATIENCE_S) as asking:
-            asking.sendall(b"\0\0\0\4ping")
+        with socket.create_connection(own.getsockname(), timeout=TIMEOUT_S) as client:
+            client.sendall(b"\0\0\0\4ping")
             answered = b""
             while len(answered) < len(EXCHANGE["answered"]):
-                answered += asking.recv(100)
+                answered += client.recv(100)
         exchanges.stopped.set()
-        time.sleep(0.05)  # its thread closes the listener itself
+        time.sleep(0.05)  # the service thread closes the listener
     assert as_text(sent) == EXCHANGE["sent"]
     assert as_text(answered) == EXCHANGE["answered"]
     assert [as_text(frame) for frame in received] == EXCHANGE["received"]
