--- a/lupintack/fronts/cdni/delivery.py
+++ b/lupintack/fronts/cdni/delivery.py
@@ -35,7 +35,7 @@
         self.ids: OrderedDict[str, int] = OrderedDict()
 
     def add(self, wire_id: str) -> bool:
-        """Add the id of a request; return False if it was added before, so that the request must not run."""
+        """Add the id of a request; return False if it is present and the request must not run."""
         now = now_us()
         with self.lock:
             while self.ids and (
@@ -109,9 +109,7 @@
         """`store`: the metadata of upstream CDNs."""
         self.conf = conf
         self.core = core
-        self.class_names = tuple(
-            cls.name for cls in core.settings.classes
-        )  # as in the settings with which the CDNI file was read
+        self.class_names = tuple(cls.name for cls in core.settings.classes)  # when the CDNI file was read
         self.store = store
         self.run_once_ids = RunOnceIds()
 
--- a/lupintack/fronts/cdni/metadata.py
+++ b/lupintack/fronts/cdni/metadata.py
@@ -182,7 +182,7 @@
 ) -> None:
     """Raise DeliveryDeniedError unless the first rule that applies allows the delivery.
 
-    Where no rule applies, a list with an `allow` rule denies it.
+    Where no rule applies, a list with an `allow` rule denies it, and any other list allows it.
     """
     rules = _read_objects(value, key)
     try:
--- a/lupintack/fronts/cdni/triggers.py
+++ b/lupintack/fronts/cdni/triggers.py
@@ -205,7 +205,7 @@
             return
         # An invalidation is executed as a purge: no copy is served again in either case.
         self.store.drop(messages.read_texts(spec, "metadata.urls"))
-        waits: list[tuple[threading.Event, str, str]] = []
+        pending_purges: list[tuple[threading.Event, str, str]] = []
         for url in messages.read_texts(spec, "content.urls"):
             content = self.conf.locate(url)
             if content is None or content.host.upstream not in ("", resource.owner):
@@ -213,13 +213,13 @@
                 continue
             in_force = threading.Event()
             self.member_table.purge(int(content.item, 16), 0, None, in_force.set)
-            waits.append((in_force, "content.urls", url))
+            pending_purges.append((in_force, "content.urls", url))
         for ccid in messages.read_texts(spec, "content.ccid"):
             in_force = threading.Event()
             self.member_table.purge(None, group_of_collection(ccid), None, in_force.set)
-            waits.append((in_force, "content.ccid", ccid))
+            pending_purges.append((in_force, "content.ccid", ccid))
         deadline_us = now_us() + int(PURGE_TIMEOUT_S * 1e6)
-        for in_force, key, value in waits:
+        for in_force, key, value in pending_purges:
             # A trigger is complete only when the purge applies to every later attempt.
             if not in_force.wait(max(0.0, (deadline_us - now_us()) / 1e6)):
                 errors.append(error_description("ecdn", "the purge does not hold yet", key, [value]))
--- a/lupintack/peers/connection.py
+++ b/lupintack/peers/connection.py
@@ -74,9 +74,7 @@
         self.end_status: AttemptStatus | None = None
         self.open_attempts: dict[str, Attempt] = {}
         self.cancelled_ids: deque[str] = deque(maxlen=REMEMBERED_CANCELLED_IDS)
-        self.abandoned_ids: set[str] = (
-            set()
-        )  # no request waits for these attempts, and they may not be cancelled
+        self.abandoned_ids: set[str] = set()  # no request waits for these; they may not be cancelled
         self.unexpected_answers = 0  # in a row
         self.lock = threading.Lock()
         self.backlog = bytearray()  # data that the kernel did not accept; written before any new data
--- a/lupintack/peers/peer.py
+++ b/lupintack/peers/peer.py
@@ -136,9 +136,7 @@
     def dispatch_waiting(self) -> None:
         """Assign waiting attempts to connections that accept them, and open connections for the others."""
         still_waiting: deque[Attempt] = deque()
-        self.has_waiting = (
-            True  # set before the connections are checked, or a slot released since would be missed
-        )
+        self.has_waiting = True  # before the connections are checked, or a released slot would be missed
         connecting = -1
         while self.waiting_attempts:
             attempt = self.waiting_attempts.popleft()
--- a/lupintack/peers/resp.py
+++ b/lupintack/peers/resp.py
@@ -88,7 +88,7 @@
             raise FrameError(f"{prefix.decode()} and a length expected, not {line[:16]!r}")
         length = int(line[1:])
         if length > maximum:
-            raise FrameError(f"length {length} exceeds the maximum {maximum}")
+            raise FrameError(f"length {length} is over the maximum ({maximum})")
         return length
 
     def read_string(self, maximum: int) -> bytearray:
