--- a/lupintack/fronts/cdni/client.py
+++ b/lupintack/fronts/cdni/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for messages to other CDNs: one call for each connection, with one time limit."""
+"""Minimal HTTP/1.1 client for calls to other CDNs: one call per connection, with a single time-out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CallError(Exception):
-    """No usable answer came."""
+    """The call got no usable answer."""
 
 
 @dataclass(slots=True)
@@ -30,15 +30,15 @@
     body: bytes
 
     def location(self, url: str) -> str:
-        """Return the URL of the Location field."""
+        """Return the absolute URL of the Location field; `url`: the one that was called."""
         return urljoin(url, self.headers.get("location", ""))
 
 
 def call(
-    method: str, url: str, limit_us: int, body: bytes = b"", headers: dict[str, str] | None = None
+    method: str, url: str, timeout_us: int, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Reply:
-    """Make one call; raise CallError for a refused connection, a time-out and an unreadable answer."""
-    until = now_us() + limit_us
+    """Make one call; raise CallError if the connection fails, the call times out or the answer is invalid."""
+    deadline_us = now_us() + timeout_us
     try:
         parts = urlsplit(url)
         host, port = parts.hostname or "", parts.port or 80
@@ -49,9 +49,9 @@
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         if body or method in ("POST", "PUT"):
             lines.append(f"Content-Length: {len(body)}")
-        with socket.create_connection((host, port), timeout=limit_us / 1e6) as sock:
+        with socket.create_connection((host, port), timeout=timeout_us / 1e6) as sock:
             sock.sendall(("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body)
-            return _reply(sock, until)
+            return _read_reply(sock, deadline_us)
     except (OSError, ValueError) as error:
         raise CallError(f"{method} {url[:100]}: {error}") from None
 
@@ -59,23 +59,23 @@
 class _Receiver:
     """Reads one reply from a connection, until a deadline."""
 
-    def __init__(self, sock: socket.socket, until_us: int) -> None:
+    def __init__(self, sock: socket.socket, deadline_us: int) -> None:
         self.sock = sock
-        self.until_us = until_us
+        self.deadline_us = deadline_us
         self.buffer = bytearray()
 
     def receive(self) -> bool:
-        """Wait for bytes; return False at the end of the connection, raise TimeoutError at the deadline."""
-        left_us = self.until_us - now_us()
-        if left_us <= 0:
+        """Wait for data; return False at the end of the stream, raise TimeoutError at the deadline."""
+        remaining_us = self.deadline_us - now_us()
+        if remaining_us <= 0:
             raise TimeoutError("no answer in time")
-        self.sock.settimeout(left_us / 1e6)
+        self.sock.settimeout(remaining_us / 1e6)
         data = self.sock.recv(READ_BYTES)
         self.buffer.extend(data)
         return bool(data)
 
     def read_head(self) -> tuple[int, dict[str, str]]:
-        """Return status and header fields."""
+        """Return the status and the header fields; raise CallError for an invalid head."""
         while (end := self.buffer.find(HEAD_END)) < 0:
             if len(self.buffer) > MAX_HEAD_BYTES or not self.receive():
                 raise CallError("an answer without a head")
@@ -91,7 +91,7 @@
         return int(status_line[1]), headers
 
     def read_body(self, length: int | None) -> bytes:
-        """Return the body; `length` None: it goes on to the end of the connection."""
+        """Return the body, which ends with the connection if `length` is None."""
         while length is None or len(self.buffer) < length:
             if len(self.buffer) > MAX_BODY_BYTES or (length or 0) > MAX_BODY_BYTES:
                 raise CallError("an answer is too long")
@@ -102,13 +102,13 @@
         return bytes(self.buffer[:length])
 
 
-def _reply(sock: socket.socket, until_us: int) -> Reply:
-    receiver = _Receiver(sock, until_us)
+def _read_reply(sock: socket.socket, deadline_us: int) -> Reply:
+    receiver = _Receiver(sock, deadline_us)
     status, headers = receiver.read_head()
-    text = headers.get("content-length", "")
-    if "transfer-encoding" in headers or (text and not text.isdigit()):
+    length_text = headers.get("content-length", "")
+    if "transfer-encoding" in headers or (length_text and not length_text.isdigit()):
         raise CallError("an answer's framing is not supported")
-    length = int(text) if text else None
+    length = int(length_text) if length_text else None
     if status in BODYLESS_STATUSES:
         length = 0
     return Reply(status, headers, receiver.read_body(length))
--- a/lupintack/fronts/cdni/conf.py
+++ b/lupintack/fronts/cdni/conf.py
@@ -1,4 +1,4 @@
-"""deploy/cdni.toml: where the CDNI front listens, its peers, and what content is offered."""
+"""Configuration of the CDNI front, from deploy/cdni.toml: listen address, peer CDNs and offered content."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from lupintack.settings.cdni import Host
 
 FILE = Path(__file__).parents[3] / "deploy" / "cdni.toml"
-OBJECT = re.compile(r"[0-9a-f]{16}")
+OBJECT_ID = re.compile(r"[0-9a-f]{16}")
 
 
 @dataclass(frozen=True)
 class ContentPath:
-    """Paths of a host that are one class."""
+    """A path prefix of a host, and the service class of its content."""
 
     prefix: str
     class_index: int
 
 
 @dataclass(frozen=True)
-class Site:
+class ContentHost:
     """A host whose content is offered."""
 
     name: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """A CDN that delegates to this one."""
+    """A CDN that delegates deliveries to this one."""
 
     id: str
     metadata: str = ""
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Downstream:
-    """A CDN that this one delegates to."""
+    """A CDN to which this one delegates deliveries."""
 
     id: str
     redirect: str = ""
@@ -58,13 +58,13 @@
 
 @dataclass(frozen=True)
 class Content:
-    """The object that a URL names, in the core's terms."""
+    """The object at a URL, as the core identifies it."""
 
     class_index: int
     item: str
     part: int
     group: int
-    site: Site
+    host: ContentHost
 
 
 @dataclass(frozen=True)
@@ -74,79 +74,79 @@
     listen: tuple[str, int]
     id: str
     base: str
-    sites: dict[str, Site] = field(default_factory=dict)
+    hosts: dict[str, ContentHost] = field(default_factory=dict)
     upstreams: dict[str, Upstream] = field(default_factory=dict)
     downstreams: dict[str, Downstream] = field(default_factory=dict)
     enabled: bool = True
 
     def locate(self, url: str) -> Content | None:
-        """Return the content that a URL names, or None for what is not offered."""
+        """Return the content at a URL, or None if it is not offered."""
         try:
             parts = urlsplit(url)
-            host, path = parts.netloc.lower(), parts.path or "/"
-            site = self.sites.get(host) or self.sites.get(parts.hostname or "")
+            authority, path = parts.netloc.lower(), parts.path or "/"
+            host = self.hosts.get(authority) or self.hosts.get(parts.hostname or "")
             nth = parse_qs(parts.query).get(PART_PARAMETER, ["0"])[0]
         except ValueError:
             return None
-        if site is None or parts.scheme not in ("http", "https"):
+        if host is None or parts.scheme not in ("http", "https"):
             return None
-        matching = [content_path for content_path in site.paths if path.startswith(content_path.prefix)]
+        matching = [content_path for content_path in host.paths if path.startswith(content_path.prefix)]
         if not matching or not (nth.isascii() and nth.isdigit() and len(nth) < 10):
             return None
-        last = path.rsplit("/", 1)[1]
-        if not OBJECT.fullmatch(last):
-            last = hashlib.blake2b(f"{site.name}{path}".encode(), digest_size=8).hexdigest()
-        path_of_class = max(matching, key=lambda p: len(p.prefix))
-        return Content(path_of_class.class_index, last, int(nth), site.group, site)
+        item = path.rsplit("/", 1)[1]
+        if not OBJECT_ID.fullmatch(item):
+            item = hashlib.blake2b(f"{host.name}{path}".encode(), digest_size=8).hexdigest()
+        longest_match = max(matching, key=lambda p: len(p.prefix))
+        return Content(longest_match.class_index, item, int(nth), host.group, host)
 
 
 def group_of_collection(ccid: str) -> int:
-    """Return the content group that a content collection id stands for."""
+    """Return the content group of a content collection id: its number below 256, otherwise a hash of it."""
     if ccid.isascii() and ccid.isdigit() and int(ccid) < 256:
         return int(ccid)
     return hashlib.blake2b(ccid.encode(), digest_size=1).digest()[0]
 
 
 def load(path: Path, classes: tuple[str, ...]) -> Cdni | None:
-    """Return the file's content; None where it is absent or switched off."""
+    """Return the configuration in a file; None if the file is absent or disabled."""
     data = files.read_toml(path)
     if data is None or files.is_off(data):
         return None
-    found = parse(data, path.name, classes)
-    return found if found.enabled else None
+    config = parse(data, path.name, classes)
+    return config if config.enabled else None
 
 
 def parse(data: dict[str, Any], name: str, classes: tuple[str, ...]) -> Cdni:
-    """Return the content, on or off; raise ConfigError for a fault in it."""
+    """Return the configuration, enabled or not; raise ConfigError if it is invalid."""
     from lupintack.settings.cdni import File
 
     file = files.parse_record(File, data, name)
-    sites = [_site(one, classes, name) for one in file.host]
-    found = Cdni(
+    hosts = [_content_host(entry, classes, name) for entry in file.host]
+    config = Cdni(
         enabled=file.enabled,
         listen=files.address(file.listen, f"{name}: listen"),
         id=file.id,
         base=file.base.rstrip("/"),
-        sites={site.name: site for site in sites},
+        hosts={host.name: host for host in hosts},
         upstreams={up.id: Upstream(up.id, up.metadata) for up in file.upstream},
         downstreams={down.id: Downstream(down.id, down.redirect, down.triggers) for down in file.downstream},
     )
-    if not found.id or not found.base.startswith("http://"):
-        raise ConfigError(f"{name}: id and base (http://...) are wanted")
-    for site in sites:
-        if site.upstream and site.upstream not in found.upstreams:
-            raise ConfigError(f"{name}: host {site.name}: no upstream {site.upstream!r}")
-        if site.downstream and site.downstream not in found.downstreams:
-            raise ConfigError(f"{name}: host {site.name}: no downstream {site.downstream!r}")
-    return found
+    if not config.id or not config.base.startswith("http://"):
+        raise ConfigError(f"{name}: id and base (http://...) are required")
+    for host in hosts:
+        if host.upstream and host.upstream not in config.upstreams:
+            raise ConfigError(f"{name}: host {host.name}: no upstream {host.upstream!r}")
+        if host.downstream and host.downstream not in config.downstreams:
+            raise ConfigError(f"{name}: host {host.name}: no downstream {host.downstream!r}")
+    return config
 
 
-def _site(host: Host, classes: tuple[str, ...], file: str) -> Site:
+def _content_host(host: Host, classes: tuple[str, ...], file: str) -> ContentHost:
     paths = []
     for path in host.path:
         if path.cls not in classes:
             raise ConfigError(
-                f"{file}: host {host.name}: unknown class {path.cls!r}, wanted is one of {classes}"
+                f"{file}: host {host.name}: unknown class {path.cls!r}, expected one of {classes}"
             )
         paths.append(ContentPath(path.prefix, classes.index(path.cls)))
-    return Site(host.name.lower(), host.group, tuple(paths), host.upstream, host.downstream)
+    return ContentHost(host.name.lower(), host.group, tuple(paths), host.upstream, host.downstream)
