--- a/lupintack/lab/budget_bugs.py
+++ b/lupintack/lab/budget_bugs.py
@@ -53,16 +53,18 @@
     self: Allocator, request: LeaseRequest, now: int
 ) -> LeaseGrant | SubLeaseGrant | None:
     """Book only the grant, not the amounts of the grant before."""
-    found = REAL_HANDLE_REQUEST(self, request, now)
-    one = self.ledger.get((request.name, request.start))
-    if found is not None and one is not None:
-        self.ledger.set_entry((request.name, request.start), replace(one, amounts=found.amounts))
-    return found
+    grant = REAL_HANDLE_REQUEST(self, request, now)
+    entry = self.ledger.get((request.name, request.start))
+    if grant is not None and entry is not None:
+        self.ledger.set_entry((request.name, request.start), replace(entry, amounts=grant.amounts))
+    return grant
 
 
 def _expire_early(self: Allocator, now: int) -> None:
     """Forget a holder at three quarters of its lease."""
-    for key in [k for k, one in self.ledger.items() if now >= one.until_us - self.terms.lease_us // 4]:
+    for key in [
+        key for key, entry in self.ledger.items() if now >= entry.until_us - self.terms.lease_us // 4
+    ]:
         del self.ledger[key]
 
 
@@ -131,9 +133,9 @@
     if bug.bounds is not None:
         with planted(bug):
             for rates in clock_rates():
-                found = search(bug.bounds, rates)
-                if found.script:
-                    return found.script, rates
+                result = search(bug.bounds, rates)
+                if result.script:
+                    return result.script, rates
     return [], ()
 
 
--- a/lupintack/lab/budget_check.py
+++ b/lupintack/lab/budget_check.py
@@ -77,12 +77,12 @@
     state.now = 10_000  # nobody abstains any more
     apply_action(state, ("stand", "a"))
     for name in ("b", "c"):
-        deliver(state, next(m for m in state.messages if m[0] == name))
+        deliver(state, next(message for message in state.messages if message[0] == name))
     while state.messages:
         deliver(state, state.messages[0])
-    first = state.processes["a"]
-    assert first.allocator is not None
-    first.allocator.elected_us -= TERMS.lease_us
+    allocating = state.processes["a"]
+    assert allocating.allocator is not None
+    allocating.allocator.elected_us -= TERMS.lease_us
     for name in ("a", "b", "a", "b"):
         apply_action(state, ("ask", name, "a", "2"))
         while state.messages:
@@ -95,22 +95,22 @@
     """Deliver a message; a duplicate stays to be delivered once more."""
     if not is_duplicate:
         state.messages.remove(message)
-    to, sender, message_body = message
-    process = state.processes[to]
+    receiver, sender, body = message
+    process = state.processes[receiver]
     now = process.local_us(state.now)
-    if isinstance(message_body, VoteRequest):
-        answer = process.voter.handle_request(message_body, now)
+    if isinstance(body, VoteRequest):
+        answer = process.voter.handle_request(body, now)
         process.stored_promise = process.voter.promise
-        state.messages.append((sender, to, answer))
-    elif isinstance(message_body, VoteReply):
-        handle_vote_reply(process, message_body, now)
-    elif isinstance(message_body, LeaseRequest):
+        state.messages.append((sender, receiver, answer))
+    elif isinstance(body, VoteReply):
+        handle_vote_reply(process, body, now)
+    elif isinstance(body, LeaseRequest):
         if process.allocator is not None and process.election is not None and process.election.is_valid(now):
-            grant = process.allocator.handle_request(message_body, now)
+            grant = process.allocator.handle_request(body, now)
             if grant is not None:
-                state.messages.append((sender, to, grant))
-    elif isinstance(message_body, LeaseGrant):
-        process.holder.accept(message_body, now)
+                state.messages.append((sender, receiver, grant))
+    elif isinstance(body, LeaseGrant):
+        process.holder.accept(body, now)
 
 
 def handle_vote_reply(process: Process, reply: VoteReply, now: int) -> None:
@@ -211,9 +211,9 @@
             yield ("double", message)
     for process in state.processes.values():
         yield from possible_actions_of(state, process, bounds)
-    after = [at for at in deadlines(state) if at > state.now]
-    if after:
-        yield ("time", str(min(after)))
+    later = [time for time in deadlines(state) if time > state.now]
+    if later:
+        yield ("time", str(min(later)))
 
 
 def possible_actions_of(state: State, process: Process, bounds: Bounds) -> Iterator[Action]:
@@ -226,8 +226,8 @@
     if state.requests < bounds.max_requests:
         allocators = [other.name for other in state.processes.values() if other.allocator is not None]
         for name in allocators:
-            for need in bounds.demands:
-                yield ("ask", process.name, name, need)
+            for demand in bounds.demands:
+                yield ("ask", process.name, name, demand)
     if state.crashes < bounds.max_crashes:
         yield ("crash", process.name)
         yield ("crash without file", process.name)
@@ -235,52 +235,55 @@
 
 def deadlines(state: State) -> Iterator[int]:
     """Yield the true times at which something expires: nothing differs between two of them."""
-    for one in state.processes.values():
-        times = [one.voter.abstain_until_us, one.holder.until_us]
-        if one.voter.promise is not None:
-            times.append(one.voter.promise.until_us)
-        if one.election is not None:
-            times.append(one.election.until_us)
-        if one.allocator is not None:
-            times += [one.allocator.ready_us, *(b.until_us for b in one.allocator.ledger.values())]
-        for at in times:
-            yield -(-at * MILLION // one.rate_ppm)
+    for process in state.processes.values():
+        times = [process.voter.abstain_until_us, process.holder.until_us]
+        if process.voter.promise is not None:
+            times.append(process.voter.promise.until_us)
+        if process.election is not None:
+            times.append(process.election.until_us)
+        if process.allocator is not None:
+            times += [
+                process.allocator.ready_us,
+                *(entry.until_us for entry in process.allocator.ledger.values()),
+            ]
+        for local_us in times:
+            yield -(-local_us * MILLION // process.rate_ppm)
 
 
 def search(bounds: Bounds, rates: Sequence[int]) -> SearchResult:
     """Search breadth first from the initial state, for one setting of the clocks."""
-    found, began = SearchResult(rates=tuple(rates)), monotonic()
-    first = initial_state(rates)
-    seen = {first.key()}
-    level: list[tuple[State, Path]] = [(first, None)]
+    result, started_s = SearchResult(rates=tuple(rates)), monotonic()
+    initial = initial_state(rates)
+    visited = {initial.key()}
+    frontier: list[tuple[State, Path]] = [(initial, None)]
     for depth in range(1, bounds.max_depth + 1):
-        coming: list[tuple[State, Path]] = []
-        for old, way in level:
-            for action in possible_actions(old, bounds):
-                state = old.fork(changed_processes(action))
+        next_frontier: list[tuple[State, Path]] = []
+        for previous, path in frontier:
+            for action in possible_actions(previous, bounds):
+                state = previous.fork(changed_processes(action))
                 apply_action(state, action)
                 key = state.key()
-                if key in seen:
+                if key in visited:
                     continue
-                seen.add(key)
-                after = (way, action)
-                coming.append((state, after))
-                if state.excess_units() or len(seen) >= bounds.max_states:
-                    found.script = script(after) if state.excess_units() else []
-                    found.is_complete = bool(found.script)
-                    found.states, found.depth, found.seconds = len(seen), depth, monotonic() - began
-                    return found
-        found.depth = depth
-        level = coming
-    found.states, found.seconds = len(seen), monotonic() - began
-    return found
-
-
-def script(way: Path) -> list[str]:
+                visited.add(key)
+                next_path = (path, action)
+                next_frontier.append((state, next_path))
+                if state.excess_units() or len(visited) >= bounds.max_states:
+                    result.script = script(next_path) if state.excess_units() else []
+                    result.is_complete = bool(result.script)
+                    result.states, result.depth, result.seconds = len(visited), depth, monotonic() - started_s
+                    return result
+        result.depth = depth
+        frontier = next_frontier
+    result.states, result.seconds = len(visited), monotonic() - started_s
+    return result
+
+
+def script(path: Path) -> list[str]:
     """Return the path to a state, one action a line, as `replay` reads it."""
     steps = []
-    while way is not None:
-        way, action = way
+    while path is not None:
+        path, action = path
         steps.append(action_text(action))
     return steps[::-1]
 
@@ -288,11 +291,11 @@
 def replay(script_lines: Sequence[str], rates: Sequence[int]) -> list[int]:
     """Return the units beyond the total after each step of a script."""
     state = initial_state(rates)
-    over = []
+    excess_units = []
     for line in script_lines:
         apply_action(state, tuple(line.split("\t")))
-        over.append(state.excess_units())
-    return over
+        excess_units.append(state.excess_units())
+    return excess_units
 
 
 def clock_rates() -> list[tuple[int, ...]]:
--- a/lupintack/lab/budget_check_state.py
+++ b/lupintack/lab/budget_check_state.py
@@ -40,21 +40,22 @@
 
     def clone(self) -> Process:
         """Return an independent copy."""
-        found = copy(self)
-        found.voter, found.holder = copy(self.voter), copy(self.holder)
+        cloned = copy(self)
+        cloned.voter, cloned.holder = copy(self.voter), copy(self.holder)
         if self.election is not None:
-            found.election = copy(self.election)
-            found.election.rounds = {
-                n: Round(one.sent_us, set(one.granted_by)) for n, one in self.election.rounds.items()
+            cloned.election = copy(self.election)
+            cloned.election.rounds = {
+                number: Round(vote_round.sent_us, set(vote_round.granted_by))
+                for number, vote_round in self.election.rounds.items()
             }
         if self.allocator is not None:
-            found.allocator = self.allocator.clone()
-        return found
+            cloned.allocator = self.allocator.clone()
+        return cloned
 
     def key(self) -> Hashable:
         """Return all that the next actions can depend on."""
-        voter, holder, standing, allocator = self.voter, self.holder, self.election, self.allocator
-        found: list[Any] = [
+        voter, holder, election, allocator = self.voter, self.holder, self.election, self.allocator
+        parts: list[Any] = [
             self.start,
             self.counter,
             self.stored_promise,
@@ -68,25 +69,28 @@
             holder.epoch,
             holder.is_answered,
         ]
-        if standing is not None:
-            found += [
-                standing.epoch,
-                standing.round,
-                standing.until_us,
-                *((n, one.sent_us, *sorted(one.granted_by)) for n, one in sorted(standing.rounds.items())),
+        if election is not None:
+            parts += [
+                election.epoch,
+                election.round,
+                election.until_us,
+                *(
+                    (n, votes.sent_us, *sorted(votes.granted_by))
+                    for n, votes in sorted(election.rounds.items())
+                ),
             ]
         if allocator is not None:
             entries = [
                 (k, b.sequence, b.demand, b.amounts, b.until_us, b.granted, b.granted_until_us)
                 for k, b in allocator.ledger.items()
             ]
-            found += [
+            parts += [
                 allocator.elected_us,
                 allocator.shares_computed_us,
                 *entries,
                 *allocator.targets().items(),
             ]
-        return tuple(found)
+        return tuple(parts)
 
 
 @dataclass(slots=True)
@@ -104,19 +108,22 @@
 
     def excess_units(self) -> int:
         """Return how many units all may spend beyond the total."""
-        leased = sum(p.holder.leased_amounts(p.local_us(self.now))[0] for p in self.processes.values())
+        leased = sum(
+            process.holder.leased_amounts(process.local_us(self.now))[0]
+            for process in self.processes.values()
+        )
         return max(0, leased - TOTAL_UNITS)
 
     def fork(self, names: Sequence[str]) -> State:
         """Return a copy in which these processes can change."""
-        found = copy(self)
-        found.processes, found.messages = dict(self.processes), list(self.messages)
+        forked = copy(self)
+        forked.processes, forked.messages = dict(self.processes), list(self.messages)
         for name in names:
-            found.processes[name] = self.processes[name].clone()
-        return found
+            forked.processes[name] = self.processes[name].clone()
+        return forked
 
     def key(self) -> int:
         """Return a key of 64 bits; states with the same key behave alike."""
-        out = frozenset(Counter(self.messages).items())
+        in_flight = frozenset(Counter(self.messages).items())
         counts = (self.now, self.candidacies, self.crashes, self.duplicates, self.requests, self.renewals)
-        return hash((counts, out, *(one.key() for one in self.processes.values())))
+        return hash((counts, in_flight, *(process.key() for process in self.processes.values())))
--- a/lupintack/lab/budget_level_bugs.py
+++ b/lupintack/lab/budget_level_bugs.py
@@ -15,7 +15,7 @@
 from lupintack.lab.budget_levels import LEVEL_FAULT_KINDS, LevelsWorld
 
 ROUTERS = 9
-PAST_ALL_US = 200_000  # true time at which all leases of the search's beginning are over
+AFTER_ALL_LEASES_US = 200_000  # true time at which all leases of the search's beginning are over
 
 
 @dataclass(frozen=True)
@@ -27,20 +27,20 @@
     steps: tuple[Step, ...] = ()  # a script that shows it, where seeds hardly do
 
 
-def _unbounded_child(self: TwoLevelNode, allocator: Allocator, now: int) -> None:
+def _leave_expiry_unbounded(self: TwoLevelNode, allocator: Allocator, now: int) -> None:
     """Give a region's leases their full time, whenever the parent lease ends."""
     REAL_SET_POOL(self, allocator, now)
     allocator.expires_by_us = None
 
 
-def _sole_voter(self: TwoLevelNode, *arguments: Any, **keywords: Any) -> None:
+def _make_only_voter(self: TwoLevelNode, *arguments: Any, **keywords: Any) -> None:
     """Make each voter of a region the only one."""
     REAL_INIT(self, *arguments, **keywords)
     if self.name in self.region.voters:
         self.region.voters = (self.name,)
 
 
-def _without_waiting(self: TwoLevelNode, allocator: Allocator) -> None:
+def _grant_without_waiting(self: TwoLevelNode, allocator: Allocator) -> None:
     """Let a new allocator of a region grant as if all of its predecessor's leases were over."""
     allocator.elected_us -= self.terms.lease_us
     REAL_PREPARE_REGION(self, allocator)
@@ -54,7 +54,7 @@
     return REAL_HANDLE_REQUEST(self, request, now)
 
 
-def _without_in_use(self: TwoLevelNode, allocator: Allocator, now: int) -> None:
+def _omit_in_use(self: TwoLevelNode, allocator: Allocator, now: int) -> None:
     """Report nothing that a region's routers still have of a larger parent lease."""
     REAL_REPORT(self, allocator, now)
     self.fleet.set_demand(self.fleet.demand)
@@ -64,16 +64,18 @@
     """Let the fleet's allocator grant the regions' reservations as well."""
     REAL_PREPARE_FLEET(self, allocator)
     regions, pool = len(self.plan.weights), self.plan.region_pool
-    total = tuple(a + r * regions for a, r in zip(allocator.allocatable, pool, strict=False))
+    total = tuple(
+        amount + reserved * regions for amount, reserved in zip(allocator.allocatable, pool, strict=False)
+    )
     allocator.allocatable = total
     allocator.shares.set_totals(total)
     allocator.ledger.set_limits(total)
 
 
-def _any_parent_grant(self: LeaseHolder, grant: Grant, now: int) -> bool:
+def _accept_older_epoch(self: LeaseHolder, grant: Grant, now: int) -> bool:
     """Accept a grant of an older epoch of the fleet's allocator, whatever it answers."""
-    mine = (grant.name, grant.start) == (self.name, self.start)
-    if isinstance(grant, LeaseGrant) and mine and grant.epoch != self.epoch and not self.is_answered:
+    is_own_grant = (grant.name, grant.start) == (self.name, self.start)
+    if isinstance(grant, LeaseGrant) and is_own_grant and grant.epoch != self.epoch and not self.is_answered:
         grant = grant._replace(sequence=self.sequence)
         self.epoch = grant.epoch
     return REAL_ACCEPT(self, grant, now)
@@ -88,7 +90,7 @@
     Step("ask parent"),
     Step("deliver", "F1"),
     Step("follow fleet"),
-    Step("time", at_us=PAST_ALL_US),
+    Step("time", at_us=AFTER_ALL_LEASES_US),
     Step("ask", OTHER),
     Step("deliver", "F2"),
     Step("deliver", OTHER),
@@ -101,17 +103,17 @@
         "a region's leases outlive the parent lease",
         TwoLevelNode,
         "_set_pool",
-        _unbounded_child,
+        _leave_expiry_unbounded,
         ("region-cut", "region-pause"),
     ),
     "two-in-a-region": PlantedLevelBug(
-        "a region has two allocators at a time", TwoLevelNode, "__init__", _sole_voter
+        "a region has two allocators at a time", TwoLevelNode, "__init__", _make_only_voter
     ),
     "region-no-wait": PlantedLevelBug(
         "a region's new allocator grants what its predecessor's leases still have",
         TwoLevelNode,
         "_prepare_region",
-        _without_waiting,
+        _grant_without_waiting,
         level_bounds=LevelBounds(6, 2, 1, 0, 0, 0, 1),
     ),
     "booking-forgotten": PlantedLevelBug(
@@ -122,10 +124,7 @@
         level_bounds=LevelBounds(6, 2, 1, 0, 0, 0, 1),
     ),
     "smaller-upwards-first": PlantedLevelBug(
-        "a parent lease shrinks before the leases drawn on it",
-        TwoLevelNode,
-        "_report_to_fleet",
-        _without_in_use,
+        "a parent lease shrinks before the leases drawn on it", TwoLevelNode, "_report_to_fleet", _omit_in_use
     ),
     "reserve-twice": PlantedLevelBug(
         "a region's reserve counts in both levels", TwoLevelNode, "_prepare_fleet", _reserve_twice
@@ -134,7 +133,7 @@
         "a grant of an older epoch of the fleet's allocator is accepted",
         LeaseHolder,
         "accept",
-        _any_parent_grant,
+        _accept_older_epoch,
         steps=LATE_GRANT,
     ),
 }
@@ -156,9 +155,9 @@
     bug = PLANTED_LEVEL_BUGS[name]
     if bug.level_bounds is not None:
         with planted(bug):
-            found = search(bug.level_bounds, clock_rates()[0])
-        if found.script:
-            return found.script, clock_rates()[0]
+            result = search(bug.level_bounds, clock_rates()[0])
+        if result.script:
+            return result.script, clock_rates()[0]
     return [], None
 
 
@@ -166,5 +165,9 @@
     """Return the first bound that the bug's script breaks, at clocks of the same rate; "" for none."""
     bug = PLANTED_LEVEL_BUGS[name]
     with planted(bug):
-        broken = [str(one) for found in replay(bug.steps, clock_rates()[0]) for one in found]
+        broken = [
+            str(violation)
+            for step_violations in replay(bug.steps, clock_rates()[0])
+            for violation in step_violations
+        ]
     return broken[0] if broken else ""
--- a/lupintack/lab/budget_level_check.py
+++ b/lupintack/lab/budget_level_check.py
@@ -86,11 +86,11 @@
     """Begin the next tenure in the region: the one before is over."""
     now = state.local_us(state.rates.region)
     if state.nodes:
-        before = state.node.region.election
-        assert before is not None
-        ended = copy(before)
-        ended.until_us = now
-        state.node.region.election = ended
+        previous_election = state.node.region.election
+        assert previous_election is not None
+        ended_election = copy(previous_election)
+        ended_election.until_us = now
+        state.node.region.election = ended_election
     name = REGION_ALLOCATORS[len(state.nodes)]
     node = TwoLevelNode(name, 1, FLEET_ALLOCATORS, PLAN, TERMS, Random(1), now)
     election = Election(Epoch(len(state.nodes) + 1, name, 1), REGION_ALLOCATORS, TERMS)
@@ -102,10 +102,10 @@
     node._connect_levels(now)
 
 
-def call_node(node: TwoLevelNode, now: int, what: Callable[[], None]) -> None:
+def call_node(node: TwoLevelNode, now: int, call: Callable[[], None]) -> None:
     """Call a region's allocator as TwoLevelNode does."""
     node._connect_levels(now)
-    what()
+    call()
     node._connect_levels(now)
 
 
@@ -170,10 +170,10 @@
 def request_lease(state: LevelState, name: str) -> None:
     """Request a lease: a router from its region's allocator, the other region from the fleet's."""
     state.requests += 1
-    to = state.allocator.epoch if name == OTHER else state.node.tenure
-    assert to is not None
-    request = state.holders[name].request(to, (DEMAND,), state.local_us(state.rates.holders), in_use=(0,))
-    state.envelopes.append(Envelope(to.name, name, request))
+    epoch = state.allocator.epoch if name == OTHER else state.node.tenure
+    assert epoch is not None
+    request = state.holders[name].request(epoch, (DEMAND,), state.local_us(state.rates.holders), in_use=(0,))
+    state.envelopes.append(Envelope(epoch.name, name, request))
 
 
 def request_parent_lease(state: LevelState, node: TwoLevelNode, now: int) -> None:
@@ -199,11 +199,11 @@
         yield Step("follow fleet")
     if len(state.nodes) <= bounds.max_region_successions:
         yield Step("follow region")
-    after = [at for at in deadlines(state) if at > state.now]
-    if after:
-        yield Step("time", at_us=min(after))
-    if len(after) > 1:
-        yield Step("time", at_us=max(after))
+    later = [time for time in deadlines(state) if time > state.now]
+    if later:
+        yield Step("time", at_us=min(later))
+    if len(later) > 1:
+        yield Step("time", at_us=max(later))
 
 
 def deadlines(state: LevelState) -> Iterator[int]:
@@ -216,14 +216,14 @@
         times = [node.fleet.holder.until_us, node.fleet.holder.until_us - near_end]
         if node.region.allocator is not None:
             times += allocator_times(node.region.allocator)
-        yield from (-(-at * MILLION // rates.region) for at in times)
+        yield from (-(-local_us * MILLION // rates.region) for local_us in times)
     for allocator in state.fleet.values():
-        yield from (-(-at * MILLION // rates.fleet) for at in allocator_times(allocator))
+        yield from (-(-local_us * MILLION // rates.fleet) for local_us in allocator_times(allocator))
 
 
 def allocator_times(allocator: Allocator) -> list[int]:
     """Return when entries of an allocator expire on its clock."""
-    return [allocator.ready_us, *(one.until_us for one in allocator.ledger.values())]
+    return [allocator.ready_us, *(entry.until_us for entry in allocator.ledger.values())]
 
 
 Path = tuple["Path | None", Step]
@@ -231,52 +231,54 @@
 
 def search(bounds: LevelBounds, rates: Rates) -> SearchResult:
     """Search breadth first from the initial state, for one setting of the clocks."""
-    found, began = SearchResult(rates=tuple(rates)), monotonic()
-    first = initial_state(rates)
-    seen = {first.key()}
-    level: list[tuple[LevelState, Path | None]] = [(first, None)]
+    result, started_s = SearchResult(rates=tuple(rates)), monotonic()
+    initial = initial_state(rates)
+    visited = {initial.key()}
+    frontier: list[tuple[LevelState, Path | None]] = [(initial, None)]
     for depth in range(1, bounds.max_depth + 1):
-        coming: list[tuple[LevelState, Path | None]] = []
-        for old, way in level:
-            for step in possible_steps(old, bounds):
-                state = old.fork()
+        next_frontier: list[tuple[LevelState, Path | None]] = []
+        for previous, path in frontier:
+            for step in possible_steps(previous, bounds):
+                state = previous.fork()
                 apply_step(state, step)
                 key = state.key()
-                if key in seen:
+                if key in visited:
                     continue
-                seen.add(key)
-                path: Path = (way, step)
-                coming.append((state, path))
-                broken = state.violations()
-                if broken or len(seen) >= bounds.max_states:
-                    found.script = [*script(path), str(broken[0])] if broken else []
-                    found.is_complete = bool(broken)
-                    found.states, found.depth, found.seconds = len(seen), depth, monotonic() - began
-                    return found
-        found.depth = depth
-        level = coming
-    found.states, found.seconds = len(seen), monotonic() - began
-    return found
-
-
-def script(way: Path | None) -> list[str]:
+                visited.add(key)
+                next_path: Path = (path, step)
+                next_frontier.append((state, next_path))
+                violations = state.violations()
+                if violations or len(visited) >= bounds.max_states:
+                    result.script = [*script(next_path), str(violations[0])] if violations else []
+                    result.is_complete = bool(violations)
+                    result.states, result.depth, result.seconds = len(visited), depth, monotonic() - started_s
+                    return result
+        result.depth = depth
+        frontier = next_frontier
+    result.states, result.seconds = len(visited), monotonic() - started_s
+    return result
+
+
+def script(path: Path | None) -> list[str]:
     """Return the path to a state, one step a line."""
-    found = []
-    while way is not None:
-        way, step = way
-        found.append(str(step))
-    return found[::-1]
+    lines = []
+    while path is not None:
+        path, step = path
+        lines.append(str(step))
+    return lines[::-1]
 
 
 def replay(steps: Sequence[Step], rates: Rates) -> list[list[Violation]]:
     """Return the violations after each step; `deliver` with a name takes the first message to that one."""
-    state, found = initial_state(rates), []
+    state, violations = initial_state(rates), []
     for step in steps:
         if step.kind in ("deliver", "double") and step.envelope is None:
-            step = step._replace(envelope=next(one for one in state.envelopes if one.to == step.name))
+            step = step._replace(
+                envelope=next(envelope for envelope in state.envelopes if envelope.to == step.name)
+            )
         apply_step(state, step)
-        found.append(state.violations())
-    return found
+        violations.append(state.violations())
+    return violations
 
 
 def clock_rates() -> list[Rates]:
--- a/lupintack/lab/budget_level_state.py
+++ b/lupintack/lab/budget_level_state.py
@@ -74,8 +74,16 @@
 def ledger_key(allocator: Allocator) -> Hashable:
     """Return all that an allocator's next actions can depend on."""
     rows = [
-        (key, one.sequence, one.demand, one.amounts, one.until_us, one.granted, one.granted_until_us)
-        for key, one in allocator.ledger.items()
+        (
+            key,
+            entry.sequence,
+            entry.demand,
+            entry.amounts,
+            entry.until_us,
+            entry.granted,
+            entry.granted_until_us,
+        )
+        for key, entry in allocator.ledger.items()
     ]
     return (allocator.epoch, allocator.elected_us, *rows)
 
@@ -94,14 +102,14 @@
 
 def clone_node(node: TwoLevelNode) -> TwoLevelNode:
     """Return an independent copy; elections are shared, as none is changed in place."""
-    found = copy(node)
-    found.fleet, found.region, found.parent = copy(node.fleet), copy(node.region), copy(node.parent)
-    found.fleet.holder = copy(node.fleet.holder)
+    cloned = copy(node)
+    cloned.fleet, cloned.region, cloned.parent = copy(node.fleet), copy(node.region), copy(node.parent)
+    cloned.fleet.holder = copy(node.fleet.holder)
     if node.parent.holder is node.fleet.holder:
-        found.parent.holder = found.fleet.holder
+        cloned.parent.holder = cloned.fleet.holder
     if node.region.allocator is not None:
-        found.region.allocator = node.region.allocator.clone()
-    return found
+        cloned.region.allocator = node.region.allocator.clone()
+    return cloned
 
 
 def node_key(node: TwoLevelNode) -> Hashable:
@@ -139,12 +147,12 @@
 
     def fork(self) -> LevelState:
         """Return an independent copy."""
-        found = copy(self)
-        found.fleet = {name: one.clone() for name, one in self.fleet.items()}
-        found.nodes = {name: clone_node(one) for name, one in self.nodes.items()}
-        found.holders = {name: copy(one) for name, one in self.holders.items()}
-        found.envelopes = list(self.envelopes)
-        return found
+        forked = copy(self)
+        forked.fleet = {name: value.clone() for name, value in self.fleet.items()}
+        forked.nodes = {name: clone_node(value) for name, value in self.nodes.items()}
+        forked.holders = {name: copy(value) for name, value in self.holders.items()}
+        forked.envelopes = list(self.envelopes)
+        return forked
 
     def key(self) -> int:
         """Return a key; states with the same key behave alike."""
@@ -170,17 +178,19 @@
 
     def violations(self) -> list[Violation]:
         """Return each bound that is exceeded now."""
-        at, region_at = self.local_us(self.rates.holders), self.local_us(self.rates.region)
-        leases = [RegionAmounts(REGION, self.holders[name].leased_amounts(at)) for name in ROUTERS]
-        other = RegionAmounts(OTHER, self.holders[OTHER].leased_amounts(at))
+        holder_us, region_us = self.local_us(self.rates.holders), self.local_us(self.rates.region)
+        leases = [RegionAmounts(REGION, self.holders[name].leased_amounts(holder_us)) for name in ROUTERS]
+        other = RegionAmounts(OTHER, self.holders[OTHER].leased_amounts(holder_us))
         parents = [
-            RegionAmounts(REGION, node.fleet.leased_amounts(region_at)) for node in self.nodes.values()
+            RegionAmounts(REGION, node.fleet.leased_amounts(region_us)) for node in self.nodes.values()
         ]
-        fleet_at = self.local_us(self.rates.fleet)
+        fleet_us = self.local_us(self.rates.fleet)
         bookings = None
-        if fleet_at >= self.allocator.ready_us:
+        if fleet_us >= self.allocator.ready_us:
             ledger = self.allocator.ledger.items()
-            bookings = [RegionAmounts(k[0], one.amounts) for k, one in ledger if fleet_at < one.until_us]
+            bookings = [
+                RegionAmounts(key[0], entry.amounts) for key, entry in ledger if fleet_us < entry.until_us
+            ]
         return violations(
             BudgetState((FLEET_TOTAL_UNITS,), BOUNDS, [*leases, other], [*parents, other], bookings)
         )
--- a/lupintack/lab/budget_levels.py
+++ b/lupintack/lab/budget_levels.py
@@ -86,7 +86,8 @@
         self.plans = self.make_plans(total, own_total)
         plan = self.plans["r0"]
         self.totals = tuple(
-            total + sum(one.region_pool[0] for one in self.plans.values()) for total in plan.fleet_allocatable
+            total + sum(region.region_pool[0] for region in self.plans.values())
+            for total in plan.fleet_allocatable
         )
         self.demand_random = Random(seed)
         self.factors = dict.fromkeys(self.region_names, 1)
@@ -98,13 +99,15 @@
         count = (
             min(FLEET_VOTERS, len(self.hosts)) if len(self.region_names) >= FLEET_VOTERS else REGION_VOTERS
         )
-        found: list[str] = []
+        voters: list[str] = []
         for n in range(count):
             region = self.region_names[n % len(self.region_names)]
-            found.append(
-                self.random.choice([h for h in self.hosts if region_of(h) == region and h not in found])
+            voters.append(
+                self.random.choice(
+                    [host for host in self.hosts if region_of(host) == region and host not in voters]
+                )
             )
-        return found
+        return voters
 
     def make_plans(self, total: int, own_total: int) -> dict[str, RegionPlan]:
         """Return the regions' plans for one fleet-wide budget and one of a site in each region."""
@@ -119,8 +122,8 @@
 
     def draw_faults(self, kinds: Sequence[str]) -> list[Fault]:
         """Return faults of one level, and some that concern two levels."""
-        plain = [kind for kind in kinds if kind not in LEVEL_FAULT_KINDS]
-        found = super().draw_faults(plain) if plain else []
+        single_level_kinds = [kind for kind in kinds if kind not in LEVEL_FAULT_KINDS]
+        faults = super().draw_faults(single_level_kinds) if single_level_kinds else []
         region, first = (
             self.random.choice(self.region_names),
             8 * SECOND_US + self.random.randrange(6 * SECOND_US),
@@ -128,8 +131,8 @@
         for kind in LEVEL_FAULT_KINDS:
             if kind in kinds and self.random.random() < 0.6:
                 at = first + self.random.randrange(8 * SECOND_US)
-                found.append(self.draw_level_fault(kind, region, at))
-        return found
+                faults.append(self.draw_level_fault(kind, region, at))
+        return faults
 
     def draw_level_fault(self, kind: str, region: str, at: int) -> Fault:
         """Return a fault of an allocator (killed or paused) or of a region."""
@@ -194,8 +197,8 @@
             if send.level is Level.FLEET and isinstance(send.message, LeaseRequest | LeaseGrant):
                 self.check_invariant()  # what is booked for a region has changed, or is about to
         for event in actions.events:
-            fleet = event.level is Level.FLEET
-            self.record_event(host, event.event if fleet else f"region {event.event}", event.detail)
+            is_fleet_level = event.level is Level.FLEET
+            self.record_event(host, event.event if is_fleet_level else f"region {event.event}", event.detail)
 
     def run(self) -> Result:
         """Run to the end, and return the result."""
@@ -218,12 +221,12 @@
 
     def parent_leases(self) -> list[RegionAmounts]:
         """Return the parent lease of each process that acts for a region."""
-        found = []
+        leases = []
         for host in self.hosts.values():
             if isinstance(host.node, TwoLevelNode) and host.node.fleet.requests_leases:
                 leased_amounts = host.node.fleet.leased_amounts(host.local_us(self.clock.now_us))
-                found.append(RegionAmounts(region_of(host.name), leased_amounts))
-        return found
+                leases.append(RegionAmounts(region_of(host.name), leased_amounts))
+        return leases
 
     def bookings(self) -> list[RegionAmounts] | None:
         """Return the ledger of the fleet's allocator, once its wait for older tenures is over."""
@@ -233,7 +236,9 @@
                 allocator = host.node.fleet.allocator
                 if allocator is not None and now >= allocator.ready_us:
                     ledger = allocator.ledger.items()
-                    return [RegionAmounts(key[0], one.amounts) for key, one in ledger if now < one.until_us]
+                    return [
+                        RegionAmounts(key[0], entry.amounts) for key, entry in ledger if now < entry.until_us
+                    ]
         return None
 
     def can_elect(self) -> bool:
@@ -259,9 +264,9 @@
         amount = sum(amounts[0] for amounts in leases)
         if cut.from_us + 2 * self.terms.lease_us <= now < cut.until_us:
             cut.reserve_share.append(amount / plan.region_pool[0])
-            own = plan.region_pool[plan.fleet_wide :]
-            if own and self.levels == 2:
-                cut.own_share.append(sum(amounts[1] for amounts in leases) / own[0])
+            own_pool = plan.region_pool[plan.fleet_wide :]
+            if own_pool and self.levels == 2:
+                cut.own_share.append(sum(amounts[1] for amounts in leases) / own_pool[0])
         if (
             now >= cut.until_us
             and cut.recovery_us < 0
@@ -289,8 +294,8 @@
         """Return all pairs, either way, of a router in the region and one outside."""
         inside = [name for name in self.hosts if region_of(name) == region]
         outside = [name for name in self.hosts if region_of(name) != region]
-        found = {(one, other) for one in inside for other in outside}
-        return found | {(other, one) for one, other in found}
+        outgoing = {(sender, receiver) for sender in inside for receiver in outside}
+        return outgoing | {(receiver, sender) for sender, receiver in outgoing}
 
     def allocates(self, host: Host) -> bool:
         """Return whether this process is the fleet's allocator, or acts as if it were."""
@@ -303,7 +308,11 @@
         hosts = [host for host in self.hosts.values() if region_of(host.name) == region]
         if self.levels == 1:
             return [host for host in hosts[:1] if host.node is not None]
-        return [h for h in hosts if isinstance(h.node, TwoLevelNode) and h.node.region.allocator is not None]
+        return [
+            host
+            for host in hosts
+            if isinstance(host.node, TwoLevelNode) and host.node.region.allocator is not None
+        ]
 
 
 class LevelsResult(NamedTuple):
@@ -319,16 +328,16 @@
     return LevelsResult(world.run(), world.cuts)
 
 
-def summarize_levels(found: Sequence[LevelsResult]) -> dict[str, Any]:
+def summarize_levels(runs: Sequence[LevelsResult]) -> dict[str, Any]:
     """Return the figures of one level, and those of regions that were cut off."""
-    cuts = [cut for one in found for cut in one.cuts]
-    reserve = [share for cut in cuts for share in cut.reserve_share]
-    own = [share for cut in cuts for share in cut.own_share]
+    cuts = [cut for run in runs for cut in run.cuts]
+    reserve_shares = [share for cut in cuts for share in cut.reserve_share]
+    own_shares = [share for cut in cuts for share in cut.own_share]
     recoveries_us = [cut.recovery_us for cut in cuts if cut.recovery_us >= 0]
-    return summarize([one.result for one in found]) | {
+    return summarize([run.result for run in runs]) | {
         "cuts": len(cuts),
-        "cut_reserve_share": round(sum(reserve) / len(reserve), 3) if reserve else None,
-        "cut_own_share": round(sum(own) / len(own), 3) if own else None,
+        "cut_reserve_share": round(sum(reserve_shares) / len(reserve_shares), 3) if reserve_shares else None,
+        "cut_own_share": round(sum(own_shares) / len(own_shares), 3) if own_shares else None,
         "whole_again_p50_s": round(median(recoveries_us) / SECOND_US, 2) if recoveries_us else None,
         "whole_again_max_s": round(max(recoveries_us) / SECOND_US, 2) if recoveries_us else None,
         "not_whole_again": len(cuts) - len(recoveries_us),
--- a/lupintack/lab/budget_results.py
+++ b/lupintack/lab/budget_results.py
@@ -28,26 +28,32 @@
     hash: str = ""
 
 
-def summarize(found: Sequence[Result]) -> dict[str, Any]:
+def summarize(results: Sequence[Result]) -> dict[str, Any]:
     """Return the figures of all runs, for one line of JSON."""
-    used = [share for one in found for share in one.leased_shares]
-    calm = [share for one in found for share in one.calm_leased_shares]
-    ended = sorted(one.converge_us for one in found if one.converge_us >= 0)
-    digest = hashlib.blake2b("".join(one.hash for one in found).encode(), digest_size=8).hexdigest()
+    leased_shares = [share for result in results for share in result.leased_shares]
+    calm_shares = [share for result in results for share in result.calm_leased_shares]
+    converge_times_us = sorted(result.converge_us for result in results if result.converge_us >= 0)
+    digest = hashlib.blake2b("".join(result.hash for result in results).encode(), digest_size=8).hexdigest()
     return {
-        "runs": len(found),
-        "routers": found[0].routers if found else 0,
-        "oversum": sum(one.violation_count for one in found),
-        "oversum_seeds": [one.seed for one in found if one.violation_count][:20],
-        "used_share": round(sum(used) / len(used), 3) if used else None,
-        "used_calm": round(sum(calm) / len(calm), 3) if calm else None,
-        "converge_p50_s": round(ended[len(ended) // 2] / SECOND_US, 2) if ended else None,
-        "converge_max_s": round(ended[-1] / SECOND_US, 2) if ended else None,
-        "without_voters": sum(not one.has_voter_majority for one in found),
-        "unconverged": [one.seed for one in found if one.has_voter_majority and one.converge_us < 0][:20],
+        "runs": len(results),
+        "routers": results[0].routers if results else 0,
+        "oversum": sum(result.violation_count for result in results),
+        "oversum_seeds": [result.seed for result in results if result.violation_count][:20],
+        "used_share": round(sum(leased_shares) / len(leased_shares), 3) if leased_shares else None,
+        "used_calm": round(sum(calm_shares) / len(calm_shares), 3) if calm_shares else None,
+        "converge_p50_s": round(converge_times_us[len(converge_times_us) // 2] / SECOND_US, 2)
+        if converge_times_us
+        else None,
+        "converge_max_s": round(converge_times_us[-1] / SECOND_US, 2) if converge_times_us else None,
+        "without_voters": sum(not result.has_voter_majority for result in results),
+        "unconverged": [
+            result.seed for result in results if result.has_voter_majority and result.converge_us < 0
+        ][:20],
         "starved_max_s": round(
-            max((one.starved_us for one in found if one.has_voter_majority), default=0) / SECOND_US, 2
+            max((result.starved_us for result in results if result.has_voter_majority), default=0)
+            / SECOND_US,
+            2,
         ),
-        "epochs_max": max((one.epochs for one in found), default=0),
+        "epochs_max": max((result.epochs for result in results), default=0),
         "hash": digest,
     }
--- a/lupintack/lab/budgets.py
+++ b/lupintack/lab/budgets.py
@@ -93,19 +93,21 @@
         if script is not None:
             self.faults = list(script)
         else:
-            self.faults = [replace(one, at_us=one.at_us + FAULT_DELAY_US) for one in self.draw_faults(kinds)]
+            self.faults = [
+                replace(fault, at_us=fault.at_us + FAULT_DELAY_US) for fault in self.draw_faults(kinds)
+            ]
         self.faults_end_us = max((fault.end_us() for fault in self.faults), default=8 * SECOND_US)
         self.faults_begin_us = min((fault.at_us for fault in self.faults), default=8 * SECOND_US)
         self.end_us = self.faults_end_us + SETTLE_US
 
     def draw_faults(self, kinds: Sequence[str]) -> list[Fault]:
         """Return faults drawn by the seed, from the run's beginning on."""
-        plain = [kind for kind in kinds if kind != "divider"]
-        found = draw_faults(self.random, list(self.hosts), self.network.sites, plain)
+        other_kinds = [kind for kind in kinds if kind != "divider"]
+        faults = draw_faults(self.random, list(self.hosts), self.network.sites, other_kinds)
         if "divider" in kinds:
             at = 8 * SECOND_US + self.random.randrange(10 * SECOND_US)
-            found.append(Fault(at, "divider", 30 * SECOND_US if self.random.random() < 0.3 else 0))
-        return found
+            faults.append(Fault(at, "divider", 30 * SECOND_US if self.random.random() < 0.3 else 0))
+        return faults
 
     def run(self) -> Result:
         """Run to the end, and return the result."""
@@ -221,14 +223,14 @@
         """Record a process's lease and check the invariant: sums grow only where a grant is accepted."""
         now = host.local_us(self.clock.now_us)
         lease_amounts = node.leased_amounts(now)
-        ends = (
+        lease_ends_us = (
             float((node.holder.until_us - host.clock_offset_us) / host.clock_rate)
             if any(lease_amounts)
             else 0.0
         )
-        if lease_amounts == host.lease_amounts and ends == host.lease_ends_us:
+        if lease_amounts == host.lease_amounts and lease_ends_us == host.lease_ends_us:
             return
-        host.lease_amounts, host.lease_ends_us = lease_amounts, ends
+        host.lease_amounts, host.lease_ends_us = lease_amounts, lease_ends_us
         if all(lease_amounts):
             host.starved_since_us = -1
         self.digest.update(f"{host.name} {lease_amounts}".encode())
--- a/lupintack/lab/charts.py
+++ b/lupintack/lab/charts.py
@@ -20,35 +20,35 @@
     return pyplot.subplots(figsize=(7.5, 4.2), dpi=110)
 
 
-def plot_detection_times(path: Path, found: Sequence[Result]) -> None:
+def plot_detection_times(path: Path, results: Sequence[Result]) -> None:
     """Plot the time from a crash to its detection, over all observers."""
-    seconds = sorted(us / 1e6 for one in found for us in one.detect_us)
-    drawn, axes = create_figure()
-    axes.plot(seconds, [(n + 1) / len(seconds) for n in range(len(seconds))], linewidth=1.5)
+    seconds = sorted(us / 1e6 for result in results for us in result.detect_us)
+    figure, axes = create_figure()
+    axes.plot(seconds, [(index + 1) / len(seconds) for index in range(len(seconds))], linewidth=1.5)
     axes.set_xlabel("crash to told, s")
     axes.set_ylabel("share of observers")
     axes.set_title(
-        f"{len(found)} runs of {found[0].routers} routers, seeds {found[0].seed} to {found[-1].seed}"
+        f"{len(results)} runs of {results[0].routers} routers, seeds {results[0].seed} to {results[-1].seed}"
     )
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path)
+    figure.tight_layout()
+    figure.savefig(path)
     with path.with_suffix(".csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["seed", "crash_to_told_s"])
-        writer.writerows([one.seed, us / 1e6] for one in found for us in one.detect_us)
+        writer.writerows([result.seed, us / 1e6] for result in results for us in result.detect_us)
 
 
 def plot_lines(
     path: Path, series: dict[str, list[tuple[float, float, float, float]]], x: str, y: str, title: str
 ) -> None:
     """Plot lines with intervals: for each series points (x, y, low, high)."""
-    drawn, axes = create_figure()
+    figure, axes = create_figure()
     for name, points in series.items():
         axes.errorbar(
-            [p[0] for p in points],
-            [p[1] for p in points],
-            yerr=[[p[1] - p[2] for p in points], [p[3] - p[1] for p in points]],
+            [point[0] for point in points],
+            [point[1] for point in points],
+            yerr=[[point[1] - point[2] for point in points], [point[3] - point[1] for point in points]],
             marker="o",
             capsize=3,
             linewidth=1.3,
@@ -59,8 +59,8 @@
     axes.set_title(title)
     axes.legend()
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path)
+    figure.tight_layout()
+    figure.savefig(path)
     with path.with_suffix(".csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["series", x, y, "low", "high"])
--- a/lupintack/lab/outcome.py
+++ b/lupintack/lab/outcome.py
@@ -69,15 +69,15 @@
         self.log(
             f"{host.name} tells: {len(members)} members, came {list(joined)[:6]}, went {list(removed)[:6]}"
         )
-        before = host.notified
+        previously_notified = host.notified
         starts: dict[str, int] = {}
         if isinstance(host.membership, Membership):
             starts = host.membership.state.notifier.notified
         host.notified = {name: starts.get(name, 0) for name in members}
-        for name in (*removed, *(name for name in joined if name in before)):
-            self._judge(host, name, before.get(name, 0), name in removed)
+        for name in (*removed, *(name for name in joined if name in previously_notified)):
+            self._classify(host, name, previously_notified.get(name, 0), name in removed)
 
-    def _judge(self, host: Host, name: str, start: int, is_removed: bool) -> None:
+    def _classify(self, host: Host, name: str, start: int, is_removed: bool) -> None:
         """Record the removal or replacement of a process as a detection or a false removal."""
         now_us = self.fleet.clock.now_us
         other = self.fleet.hosts.get(name)
--- a/lupintack/lab/planted_bugs.py
+++ b/lupintack/lab/planted_bugs.py
@@ -116,7 +116,7 @@
         yield
 
 
-def problem(result: Result) -> str:
+def describe_problem(result: Result) -> str:
     """Return what is wrong with a run in a few words, "" for nothing."""
     if result.broken_invariant:
         return result.broken_invariant
@@ -134,15 +134,15 @@
     bug = PLANTED_BUGS[name]
     for seed in range(seeds):
         with planted(bug):
-            found = problem_in_run(bug, seed)
-        if found and not problem_in_run(bug, seed):
-            return seed, found
+            problem = describe_problem_in_run(bug, seed)
+        if problem and not describe_problem_in_run(bug, seed):
+            return seed, problem
     return None, ""
 
 
-def problem_in_run(bug: PlantedBug, seed: int) -> str:
+def describe_problem_in_run(bug: PlantedBug, seed: int) -> str:
     """Return what is wrong with a seed's run of the bug's faults, whether or not the bug is planted."""
     result = World(seed, ROUTERS, kinds=bug.kinds).run()
     if bug.kinds == ("kill",) and max(result.detect_us, default=0) > MAX_DETECTION_US:
-        return problem(result) or f"a crash told after {max(result.detect_us) / SECOND:.1f} s"
-    return problem(result)
+        return describe_problem(result) or f"a crash told after {max(result.detect_us) / SECOND:.1f} s"
+    return describe_problem(result)
