--- a/lupintack/lab/__init__.py
+++ b/lupintack/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The pure parts on a virtual clock: faults from seeds, invariants after each step, planted bugs."""
+"""Simulation of the membership and the budgets on a virtual clock, without I/O.
+
+Faults are drawn from seeds, invariants are checked during a run, and planted bugs test the checks.
+"""
--- a/lupintack/lab/baselines.py
+++ b/lupintack/lab/baselines.py
@@ -1,7 +1,7 @@
-"""Baselines for the membership in the lab's world: plain SWIM, and heartbeats from all routers to all.
+"""Baselines to compare the membership with: plain SWIM, and all-to-all heartbeats.
 
-Both gossip and exchange views as the membership does; they differ in the probes and in who decides. Each
-waits as long as the membership does before it removes a silent router.
+Both gossip and exchange views as the membership does; they differ in the probes and in how failures are
+decided. Both wait as long as the membership does before they remove a silent router.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from lupintack.membership.state_machine import Membership
 from lupintack.membership.view import Record, State
 
-SWIM_PROBE_MARGIN_US = 500_000  # the average time until a suspect's turn, part of the membership's timeout
+SWIM_PROBE_MARGIN_US = 500_000  # average wait until a router is probed; the membership's timeout includes it
 NEVER_US = 1 << 62
 
 
 class Swim(Membership):
-    """Probes one router in turn each interval; any router's suspicion counts, and only time ends it."""
+    """Probes one router in turn each interval; one router's suspicion fails a router on timeout."""
 
     def __init__(self, me: Record, config: MembershipConfig, random: Random, seeds: Sequence[str]) -> None:
-        """Begin as `me`, unstarted."""
+        """Initialize without starting; `me` is this router's record."""
         super().__init__(me, config, random, seeds, max_message_bytes)
         self.random = random
         self.order: list[str] = []
@@ -35,7 +35,7 @@
         self.state.observers_changed = False
 
     def _suspect_silent(self, now_us: int) -> None:
-        """End the interval: suspect a target that has not answered, and probe the next."""
+        """At the end of an interval, suspect a target that has not answered, and probe the next."""
         if now_us < self.next_round_us:
             return
         self.next_round_us = now_us + self.config.probe_interval_us
@@ -76,10 +76,10 @@
 
 
 class Heartbeats(Membership):
-    """Sends to every router each interval; each router removes others by its own clock alone."""
+    """Sends to every router each interval; each router removes silent ones on its own timeout."""
 
     def __init__(self, me: Record, config: MembershipConfig, random: Random, seeds: Sequence[str]) -> None:
-        """Begin as `me`, unstarted."""
+        """Initialize without starting; `me` is this router's record."""
         super().__init__(me, config, random, seeds, max_message_bytes)
         self.next_round_us = 0
 
@@ -104,7 +104,7 @@
                 self.state.merge(record._replace(state=State.FAILED), now_us)
 
     def _decide_failures(self, now_us: int) -> None:
-        """Do nothing: no other router is asked."""
+        """Do nothing: failures are decided without reports of other routers."""
 
     def _on_local_pause(self, gap_us: int, now_us: int) -> None:
         """Do nothing: pauses are not detected."""
@@ -118,5 +118,5 @@
 def heartbeats(
     me: Record, config: MembershipConfig, random: Random, seeds: Sequence[str]
 ) -> SimulatedMembership:
-    """Return heartbeats from all to all."""
+    """Return all-to-all heartbeats."""
     return Heartbeats(me, config, random, seeds)
--- a/lupintack/lab/budget_bugs.py
+++ b/lupintack/lab/budget_bugs.py
@@ -1,4 +1,4 @@
-"""Bugs planted in the budget protocol: the search or the seeded fleets have to catch each."""
+"""Bugs planted in the budget protocol; the search or the seeded simulations must detect each."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     replacement: Any
     fault_kinds: tuple[str, ...] = FAULT_KINDS
     drift_ppm: int = Terms().drift_ppm
-    bounds: Bounds | None = None  # of a search that finds it, too
+    bounds: Bounds | None = None  # of a search that also finds the bug
 
 
 def _without_drift(self: Terms, us: int) -> int:
@@ -52,7 +52,7 @@
 def _forget_previous_grant(
     self: Allocator, request: LeaseRequest, now: int
 ) -> LeaseGrant | SubLeaseGrant | None:
-    """Book only the grant, not the amounts of the grant before."""
+    """Record only this grant in the ledger, without the amounts of the previous grant."""
     grant = REAL_HANDLE_REQUEST(self, request, now)
     entry = self.ledger.get((request.name, request.start))
     if grant is not None and entry is not None:
@@ -61,10 +61,8 @@
 
 
 def _expire_early(self: Allocator, now: int) -> None:
-    """Forget a holder at three quarters of its lease."""
-    for key in [
-        key for key, entry in self.ledger.items() if now >= entry.until_us - self.terms.lease_us // 4
-    ]:
+    """Remove a holder's ledger entry after three quarters of its lease."""
+    for key in [k for k, entry in self.ledger.items() if now >= entry.until_us - self.terms.lease_us // 4]:
         del self.ledger[key]
 
 
@@ -82,14 +80,14 @@
 
 PLANTED_BUGS: dict[str, PlantedBug] = {
     "no-wait": PlantedBug(
-        "a new tenure grants before the older one's leases are over",
+        "a new tenure grants before the previous tenure's leases have expired",
         Allocator,
         "ready_us",
         property(lambda self: self.elected_us),
         bounds=Bounds(7, 1, 0, 0, 1, 0),
     ),
     "giver-clock": PlantedBug(
-        "a lease ends by the allocator's clock, without the drift",
+        "a lease ends by the allocator's clock, without a margin for drift",
         Terms,
         "drift_safe",
         _without_drift,
@@ -108,12 +106,12 @@
     ),
     "minority": PlantedBug("one vote is enough", Election, "handle_reply", _accept_any_reply),
     "book-forgets": PlantedBug(
-        "the ledger forgets the amounts of the grant before",
+        "the ledger drops the amounts of the previous grant",
         Allocator,
         "handle_request",
         _forget_previous_grant,
     ),
-    "book-early": PlantedBug("the booking ends before the lease", Allocator, "expire", _expire_early),
+    "book-early": PlantedBug("the ledger entry expires before the lease", Allocator, "expire", _expire_early),
     "blind": PlantedBug(
         "the amounts of other holders are ignored", Allocator, "limited_to_available", _ignore_other_holders
     ),
@@ -122,13 +120,13 @@
 
 @contextmanager
 def planted(bug: PlantedBug) -> Iterator[None]:
-    """Patch the bug into its class."""
+    """Patch the bug into its class while the context is open."""
     with patch.object(bug.owner, bug.attribute, bug.replacement):
         yield
 
 
 def find_by_search(name: str) -> tuple[list[str], tuple[int, ...]]:
-    """Return the shortest script that the search finds and its clocks; empty for bugs left to seeds."""
+    """Return the shortest script that the search finds and its clock rates; empty if there is none."""
     bug = PLANTED_BUGS[name]
     if bug.bounds is not None:
         with planted(bug):
@@ -140,7 +138,7 @@
 
 
 def find_by_seeds(name: str, seeds: int) -> int | None:
-    """Return the first seed of a small fleet that breaks the invariant with the bug, and not without."""
+    """Return the first seed whose run breaks the invariant with the bug and not without it."""
     bug = PLANTED_BUGS[name]
     terms = Terms(drift_ppm=bug.drift_ppm)
     for seed in range(seeds):
--- a/lupintack/lab/budget_check.py
+++ b/lupintack/lab/budget_check.py
@@ -1,7 +1,7 @@
 """A breadth-first search over all interleavings of a few voters, allocators and holders.
 
-The protocol's own classes are searched, not a model of them. The invariant is checked in each state, and
-clocks run at the ends of the drift.
+The search runs the protocol's own classes, not a model of them. The invariant is checked in each state, and
+each clock runs at the lowest or the highest rate that the drift allows.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of each action on one path."""
+    """Limits of the search: depth, states, and how often each action may occur on one path."""
 
     max_depth: int = 9
     max_candidacies: int = 1
@@ -42,19 +42,19 @@
     states: int = 0
     depth: int = 0
     seconds: float = 0.0
-    is_complete: bool = True  # every state up to the depth was checked
-    script: list[str] = field(default_factory=list)  # the shortest way to a sum that is too high
+    is_complete: bool = True  # whether every state up to the depth was checked
+    script: list[str] = field(default_factory=list)  # the shortest path to a sum of leases above the total
     rates: tuple[int, ...] = ()
 
 
 Action = tuple[Any, ...]
 
 
-Path = tuple[Any, Action] | None  # the way before, and the last action
+Path = tuple[Any, Action] | None  # the path to the previous state, and the last action
 
 
 def action_text(action: Action) -> str:
-    """Return a line of a script."""
+    """Return an action as a line of a script."""
     return "\t".join(part if isinstance(part, str) else repr(part) for part in action)
 
 
@@ -68,13 +68,13 @@
 
 
 def initial_state(rates: Sequence[int]) -> State:
-    """Return the state in which a allocates, a and b have one unit each, and c has none."""
+    """Return the state in which `a` allocates, `a` and `b` lease one unit each, and `c` none."""
     state = State(0, {})
     for name, rate in zip(NAMES, rates, strict=True):
         state.processes[name] = Process(
             name, rate, Voter(name, TERMS, None, 0), LeaseHolder(name, 1, 1, TERMS)
         )
-    state.now = 10_000  # nobody abstains any more
+    state.now = 10_000  # no voter abstains any more
     apply_action(state, ("stand", "a"))
     for name in ("b", "c"):
         deliver(state, next(message for message in state.messages if message[0] == name))
@@ -92,7 +92,7 @@
 
 
 def deliver(state: State, message: tuple[str, str, Message], is_duplicate: bool = False) -> None:
-    """Deliver a message; a duplicate stays to be delivered once more."""
+    """Deliver a message; with `is_duplicate` it stays in flight, to be delivered again."""
     if not is_duplicate:
         state.messages.remove(message)
     receiver, sender, body = message
@@ -114,7 +114,7 @@
 
 
 def handle_vote_reply(process: Process, reply: VoteReply, now: int) -> None:
-    """Handle a reply to an election; with a majority the process allocates."""
+    """Handle a vote reply; a process that wins a majority becomes the allocator."""
     if (
         process.election is not None
         and process.election.handle_reply(reply, now)
@@ -144,7 +144,7 @@
 
 
 def message_of(state: State, argument: Any) -> tuple[str, str, Message]:
-    """Return the message that an action names; a replayed script names it by its text."""
+    """Return the message of an action; a replayed script identifies it by its repr."""
     if isinstance(argument, str):
         return next(message for message in state.messages if repr(message) == argument)
     message: tuple[str, str, Message] = argument
@@ -166,7 +166,7 @@
 
 
 def renew_term(state: State, process: Process) -> None:
-    """Renew an allocator's term in one step, with all replies: only elections are interleaved."""
+    """Renew an allocator's term with all replies in one step; only elections are interleaved with others."""
     assert process.election is not None
     now = process.local_us(state.now)
     state.renewals += 1
@@ -193,7 +193,7 @@
 
 
 def restart(state: State, process: Process, keeps_file: bool) -> None:
-    """Crash a process and start it again, with its voter's file or without."""
+    """Crash a process and restart it, with or without its vote file."""
     state.crashes += 1
     process.start += 1
     stored = process.stored_promise if keeps_file else None
@@ -204,7 +204,7 @@
 
 
 def possible_actions(state: State, bounds: Bounds) -> Iterator[Action]:
-    """Yield all that can happen next."""
+    """Yield every action that is possible next."""
     for message in state.messages:
         yield ("deliver", message)
         if state.duplicates < bounds.max_duplicates:
@@ -217,7 +217,7 @@
 
 
 def possible_actions_of(state: State, process: Process, bounds: Bounds) -> Iterator[Action]:
-    """Yield all that one process may do next."""
+    """Yield every action that one process can take next."""
     is_elected = process.election is not None and process.election.is_valid(process.local_us(state.now))
     if state.candidacies < bounds.max_candidacies and not is_elected:
         yield ("stand", process.name)
@@ -234,7 +234,7 @@
 
 
 def deadlines(state: State) -> Iterator[int]:
-    """Yield the true times at which something expires: nothing differs between two of them."""
+    """Yield the true times at which something expires; between two of them no behaviour changes."""
     for process in state.processes.values():
         times = [process.voter.abstain_until_us, process.holder.until_us]
         if process.voter.promise is not None:
@@ -251,7 +251,7 @@
 
 
 def search(bounds: Bounds, rates: Sequence[int]) -> SearchResult:
-    """Search breadth first from the initial state, for one setting of the clocks."""
+    """Search breadth-first from the initial state, with one combination of clock rates."""
     result, started_s = SearchResult(rates=tuple(rates)), monotonic()
     initial = initial_state(rates)
     visited = {initial.key()}
@@ -280,7 +280,7 @@
 
 
 def script(path: Path) -> list[str]:
-    """Return the path to a state, one action a line, as `replay` reads it."""
+    """Return the path to a state as lines that `replay` reads, one action per line."""
     steps = []
     while path is not None:
         path, action = path
@@ -289,7 +289,7 @@
 
 
 def replay(script_lines: Sequence[str], rates: Sequence[int]) -> list[int]:
-    """Return the units beyond the total after each step of a script."""
+    """Return the units leased in excess of the total after each step of a script."""
     state = initial_state(rates)
     excess_units = []
     for line in script_lines:
@@ -299,6 +299,6 @@
 
 
 def clock_rates() -> list[tuple[int, ...]]:
-    """Return all settings of the three clocks, each at either end of the drift."""
+    """Return all combinations of the three clocks' rates, each at either end of the drift."""
     slow, fast = MILLION - TERMS.drift_ppm, MILLION + TERMS.drift_ppm
     return list(product((slow, fast), repeat=len(NAMES)))
--- a/lupintack/lab/budget_check_state.py
+++ b/lupintack/lab/budget_check_state.py
@@ -1,4 +1,4 @@
-"""The state of the search over budgets of one level: three processes and the messages under way."""
+"""State of the search over budgets of one level: three processes and the messages in flight."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """One of the three: a voter, a holder, and at times the allocator."""
+    """One of the three processes: a voter, a lease holder and, while elected, the allocator."""
 
     name: str
     rate_ppm: int
@@ -53,7 +53,7 @@
         return cloned
 
     def key(self) -> Hashable:
-        """Return all that the next actions can depend on."""
+        """Return everything that the process's next actions can depend on."""
         voter, holder, election, allocator = self.voter, self.holder, self.election, self.allocator
         parts: list[Any] = [
             self.start,
@@ -99,7 +99,7 @@
 
     now: int
     processes: dict[str, Process]
-    messages: list[tuple[str, str, Message]] = field(default_factory=list)  # to, from, message
+    messages: list[tuple[str, str, Message]] = field(default_factory=list)  # receiver, sender, message
     candidacies: int = 0
     crashes: int = 0
     duplicates: int = 0
@@ -107,7 +107,7 @@
     renewals: int = 0
 
     def excess_units(self) -> int:
-        """Return how many units all may spend beyond the total."""
+        """Return the units leased by all processes in excess of the total."""
         leased = sum(
             process.holder.leased_amounts(process.local_us(self.now))[0]
             for process in self.processes.values()
@@ -115,7 +115,7 @@
         return max(0, leased - TOTAL_UNITS)
 
     def fork(self, names: Sequence[str]) -> State:
-        """Return a copy in which these processes can change."""
+        """Return a copy in which these processes can be changed; the others are shared."""
         forked = copy(self)
         forked.processes, forked.messages = dict(self.processes), list(self.messages)
         for name in names:
@@ -123,7 +123,7 @@
         return forked
 
     def key(self) -> int:
-        """Return a key of 64 bits; states with the same key behave alike."""
+        """Return a 64-bit hash; the search treats states of the same hash as equal."""
         in_flight = frozenset(Counter(self.messages).items())
         counts = (self.now, self.candidacies, self.crashes, self.duplicates, self.requests, self.renewals)
         return hash((counts, in_flight, *(process.key() for process in self.processes.values())))
--- a/lupintack/lab/budget_level_check.py
+++ b/lupintack/lab/budget_level_check.py
@@ -1,9 +1,9 @@
 """A breadth-first search over all interleavings of budgets of two levels.
 
-One region has two successive allocators and two routers; the fleet has two successive allocators. Another
-region is a holder at the fleet's level alone. The protocol's own classes are searched. That two tenures of
-one level never overlap is checked by `budget_check`: here a tenure ends when the next one begins, while its
-late messages are still under way. Time goes on to the next deadline, or past the last.
+One region has two successive allocators and two routers; the fleet has two successive allocators. The other
+region is only a lease holder at the fleet's level. The search runs the protocol's own classes.
+`budget_check` checks that two tenures of one level never overlap: here a tenure ends when the next one
+begins, while its late messages are still in flight. Time advances to the next deadline or past the last.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelBounds:
-    """Bounds of each action on one path."""
+    """Limits of the search: depth, states, and how often each action may occur on one path."""
 
     max_depth: int = 7
     max_requests: int = 3  # of a router or of the other region
@@ -74,7 +74,7 @@
 
 
 def succeed_fleet_allocator(state: LevelState) -> None:
-    """Begin the next tenure at the fleet: the one before is over."""
+    """End the current tenure of the fleet's allocator and begin the next."""
     name = FLEET_ALLOCATORS[len(state.fleet)]
     now = state.local_us(state.rates.fleet)
     allocator = Allocator(Epoch(len(state.fleet) + 1, name, 1), (FLEET_TOTAL_UNITS,), TERMS, now)
@@ -83,7 +83,7 @@
 
 
 def succeed_region_allocator(state: LevelState) -> None:
-    """Begin the next tenure in the region: the one before is over."""
+    """End the current tenure of the region's allocator and begin the next."""
     now = state.local_us(state.rates.region)
     if state.nodes:
         previous_election = state.node.region.election
@@ -103,14 +103,14 @@
 
 
 def call_node(node: TwoLevelNode, now: int, call: Callable[[], None]) -> None:
-    """Call a region's allocator as TwoLevelNode does."""
+    """Call a region's allocator and connect its levels before and after, as TwoLevelNode does."""
     node._connect_levels(now)
     call()
     node._connect_levels(now)
 
 
 def deliver(state: LevelState, envelope: Envelope) -> None:
-    """Deliver a message."""
+    """Deliver a message; an allocator ignores requests after the end of its tenure."""
     to, sender, message = envelope
     if to in state.fleet:
         if state.fleet[to] is state.allocator and isinstance(message, LeaseRequest):
@@ -184,7 +184,7 @@
 
 
 def possible_steps(state: LevelState, bounds: LevelBounds) -> Iterator[Step]:
-    """Yield all that can happen next."""
+    """Yield every step that is possible next."""
     for envelope in state.envelopes:
         yield Step("deliver", envelope=envelope)
         if state.duplicates < bounds.max_duplicates:
@@ -207,7 +207,7 @@
 
 
 def deadlines(state: LevelState) -> Iterator[int]:
-    """Yield the true times at which something expires: nothing differs between two of them."""
+    """Yield the true times at which something expires; between two of them no behaviour changes."""
     rates = state.rates
     near_end = TERMS.request_interval_us * 5 // 4
     for holder in state.holders.values():
@@ -222,7 +222,7 @@
 
 
 def allocator_times(allocator: Allocator) -> list[int]:
-    """Return when entries of an allocator expire on its clock."""
+    """Return when an allocator becomes ready and its ledger entries expire, on its own clock."""
     return [allocator.ready_us, *(entry.until_us for entry in allocator.ledger.values())]
 
 
@@ -230,7 +230,7 @@
 
 
 def search(bounds: LevelBounds, rates: Rates) -> SearchResult:
-    """Search breadth first from the initial state, for one setting of the clocks."""
+    """Search breadth-first from the initial state, with one combination of clock rates."""
     result, started_s = SearchResult(rates=tuple(rates)), monotonic()
     initial = initial_state(rates)
     visited = {initial.key()}
@@ -260,7 +260,7 @@
 
 
 def script(path: Path | None) -> list[str]:
-    """Return the path to a state, one step a line."""
+    """Return the path to a state, one step per line."""
     lines = []
     while path is not None:
         path, step = path
@@ -269,7 +269,7 @@
 
 
 def replay(steps: Sequence[Step], rates: Rates) -> list[list[Violation]]:
-    """Return the violations after each step; `deliver` with a name takes the first message to that one."""
+    """Return the violations after each step; `deliver` with a name takes its first message."""
     state, violations = initial_state(rates), []
     for step in steps:
         if step.kind in ("deliver", "double") and step.envelope is None:
@@ -282,6 +282,6 @@
 
 
 def clock_rates() -> list[Rates]:
-    """Return all settings of the three clocks, each at either end of the drift."""
+    """Return all combinations of the three clocks' rates, each at either end of the drift."""
     slow, fast = MILLION - TERMS.drift_ppm, MILLION + TERMS.drift_ppm
     return [Rates(*rates) for rates in product((slow, fast), repeat=3)]
--- a/lupintack/lab/budget_level_state.py
+++ b/lupintack/lab/budget_level_state.py
@@ -1,4 +1,4 @@
-"""The state of the search over budgets of two levels, and the invariant that each state is checked by."""
+"""State of the search over budgets of two levels, and the invariant that is checked in each state."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message under way."""
+    """A message in flight."""
 
     to: str
     sender: str
@@ -51,7 +51,7 @@
 
 
 class Step(NamedTuple):
-    """One step: of a process, of the network (`envelope`), or of time (`at_us`, true)."""
+    """One step of a process, of the network (`envelope`) or of time (`at_us`, in true time)."""
 
     kind: str
     name: str = ""
@@ -59,12 +59,12 @@
     at_us: int = 0
 
     def __str__(self) -> str:
-        """Return a line of a script."""
+        """Return the step as a line of a script."""
         return "\t".join(map(str, (self.kind, self.name, self.envelope or "", self.at_us)))
 
 
 class Rates(NamedTuple):
-    """The rates of the clocks: of the fleet's allocators, the region's, and the holders."""
+    """Clock rates, in ppm, of the fleet's allocators, the region's allocators and the lease holders."""
 
     fleet: int
     region: int
@@ -72,7 +72,7 @@
 
 
 def ledger_key(allocator: Allocator) -> Hashable:
-    """Return all that an allocator's next actions can depend on."""
+    """Return everything that an allocator's next actions can depend on."""
     rows = [
         (
             key,
@@ -89,7 +89,7 @@
 
 
 def holder_key(holder: LeaseHolder) -> Hashable:
-    """Return all that a holder's next actions can depend on."""
+    """Return everything that a lease holder's next actions can depend on."""
     return (
         holder.name,
         holder.start,
@@ -101,7 +101,7 @@
 
 
 def clone_node(node: TwoLevelNode) -> TwoLevelNode:
-    """Return an independent copy; elections are shared, as none is changed in place."""
+    """Return an independent copy; elections are shared, since they are never modified in place."""
     cloned = copy(node)
     cloned.fleet, cloned.region, cloned.parent = copy(node.fleet), copy(node.region), copy(node.parent)
     cloned.fleet.holder = copy(node.fleet.holder)
@@ -113,7 +113,7 @@
 
 
 def node_key(node: TwoLevelNode) -> Hashable:
-    """Return all that a region allocator's next actions can depend on."""
+    """Return everything that a region allocator's next actions can depend on."""
     allocator, parent = node.region.allocator, node.parent
     return (
         node.region.election is not None and node.region.election.until_us,
@@ -136,8 +136,8 @@
 
     rates: Rates
     now: int = BEGIN_US
-    fleet: dict[str, Allocator] = field(default_factory=dict)  # the last one's tenure holds
-    nodes: dict[str, TwoLevelNode] = field(default_factory=dict)  # likewise
+    fleet: dict[str, Allocator] = field(default_factory=dict)  # by tenure; the last is current
+    nodes: dict[str, TwoLevelNode] = field(default_factory=dict)  # likewise, of the region
     holders: dict[str, LeaseHolder] = field(default_factory=dict)
     envelopes: list[Envelope] = field(default_factory=list)
     requests: int = 0
@@ -155,7 +155,7 @@
         return forked
 
     def key(self) -> int:
-        """Return a key; states with the same key behave alike."""
+        """Return a hash; the search treats states of the same hash as equal."""
         counts = (self.now, self.requests, self.parent_requests, self.duplicates, self.crashes)
         fleet = tuple(map(ledger_key, self.fleet.values()))
         nodes = tuple(map(node_key, self.nodes.values()))
@@ -163,7 +163,7 @@
         return hash((counts, fleet, nodes, holders, frozenset(Counter(self.envelopes).items())))
 
     def local_us(self, rate_ppm: int) -> int:
-        """Return the time of a clock of this rate."""
+        """Return the current time of a clock of this rate."""
         return self.now * rate_ppm // MILLION
 
     @property
@@ -177,7 +177,7 @@
         return self.nodes[list(self.nodes)[-1]]
 
     def violations(self) -> list[Violation]:
-        """Return each bound that is exceeded now."""
+        """Return the invariant's violations in this state."""
         holder_us, region_us = self.local_us(self.rates.holders), self.local_us(self.rates.region)
         leases = [RegionAmounts(REGION, self.holders[name].leased_amounts(holder_us)) for name in ROUTERS]
         other = RegionAmounts(OTHER, self.holders[OTHER].leased_amounts(holder_us))
--- a/lupintack/lab/budget_levels.py
+++ b/lupintack/lab/budget_levels.py
@@ -1,8 +1,8 @@
 """Fleets of several regions on the virtual clock, with budgets of two levels or, for comparison, of one.
 
-Regions have voters of their own; the fleet's voters are in different regions. Demand moves between regions.
-Beside the faults of one level: a region's or the fleet's allocator is killed or paused, and a region is cut
-off from all others.
+Each region has its own voters; the fleet's voters are in different regions. Demand moves between regions.
+In addition to the faults of one level, a region's or the fleet's allocator is killed or paused, and a region
+is cut off from all others.
 """
 
 from __future__ import annotations
@@ -29,33 +29,33 @@
 SHARED_FAULT_KINDS = tuple(kind for kind in FAULT_KINDS if kind != "divider")
 REGION_VOTERS = 3
 FLEET_VOTERS = 5
-SITES_PER_REGION = 2  # a region
-ALLOCATOR_PAUSE_US = 30 * SECOND_US  # of an allocator
-REGION_PAUSE_US = 12 * SECOND_US  # of some routers of a region: longer than a lease
-DEMAND_PATTERN_US = 6 * SECOND_US  # how long one pattern of demand among the regions lasts
-DEMAND_EIGHTHS = (1, 1, 2, 8)  # of each router's part of the whole, twice or four times
-RECOVERED_RESERVE_SHARE = 1.0  # a region holds more than this part of its reserve
+SITES_PER_REGION = 2
+ALLOCATOR_PAUSE_US = 30 * SECOND_US
+REGION_PAUSE_US = 12 * SECOND_US  # of half of a region's routers; longer than a lease
+DEMAND_PATTERN_US = 6 * SECOND_US  # duration of one distribution of demand over the regions
+DEMAND_EIGHTHS = (1, 1, 2, 8)  # of each router's equal share, multiplied by 2 or 4
+RECOVERED_RESERVE_SHARE = 1.0  # a region has recovered once it leases more than this share of its reserve
 
 
 @dataclass(slots=True)
 class Cut:
-    """Samples of a region while it was cut off, and after."""
+    """Samples of a region while it was cut off and had only its own budgets, and its recovery time."""
 
     region: str
     from_us: int
     until_us: int
-    reserve_share: list[float] = field(default_factory=list)  # of its reserve, leased while it had that alone
-    own_share: list[float] = field(default_factory=list)  # of its own sites' budgets, leased at that time
-    recovery_us: int = -1  # from the cut's end until it has more than its reserve
+    reserve_share: list[float] = field(default_factory=list)  # leased share of the reserve
+    own_share: list[float] = field(default_factory=list)  # leased share of its sites' budgets
+    recovery_us: int = -1  # from the cut's end until it leases more than its reserve; -1 if never
 
 
 def region_of(name: str) -> str:
-    """Return the region of a host or site: names begin with it."""
+    """Return the region of a host or site, which is the prefix of its name."""
     return name.partition("-")[0]
 
 
 class LevelsWorld(World):
-    """One run of a fleet of several regions."""
+    """One run of a simulated fleet of several regions."""
 
     def __init__(
         self,
@@ -70,10 +70,10 @@
         levels: int = 2,
         moving: bool = True,
     ) -> None:
-        """`total`: of the one fleet-wide budget; `own_total`: of the budget of each region's first site;
-        `moving`: demand moves between regions, else each has more demand than there is.
+        """Prepare a run; `total` is the fleet-wide budget, `own_total` that of each region's first site.
 
-        With one level the same seed plays the same fleet, faults and demand, without the sites' budgets.
+        `moving`: demand moves between regions; else every region demands more than the total.
+        With one level, a seed gives the same fleet, faults and demand, without the sites' budgets.
         """
         self.levels, self.moving = levels, moving
         names = [f"r{n % regions}-n{n // regions}" for n in range(max(routers, regions * REGION_VOTERS))]
@@ -95,7 +95,7 @@
         self.plan_faults(kinds, script)
 
     def choose_fleet_voters(self) -> list[str]:
-        """Return an odd number of routers, of different regions as far as there are enough."""
+        """Return an odd number of routers, in different regions as far as possible."""
         count = (
             min(FLEET_VOTERS, len(self.hosts)) if len(self.region_names) >= FLEET_VOTERS else REGION_VOTERS
         )
@@ -110,7 +110,7 @@
         return voters
 
     def make_plans(self, total: int, own_total: int) -> dict[str, RegionPlan]:
-        """Return the regions' plans for one fleet-wide budget and one of a site in each region."""
+        """Return the regions' plans for a fleet-wide budget and the budget of one site per region."""
         regions = []
         for name in self.region_names:
             voters = [host for host in self.hosts if region_of(host) == name][:REGION_VOTERS]
@@ -121,7 +121,7 @@
         return {region.name: plan_region(budgets, regions, region) for region in regions}
 
     def draw_faults(self, kinds: Sequence[str]) -> list[Fault]:
-        """Return faults of one level, and some that concern two levels."""
+        """Return drawn faults of one level, followed by faults specific to two levels."""
         single_level_kinds = [kind for kind in kinds if kind not in LEVEL_FAULT_KINDS]
         faults = super().draw_faults(single_level_kinds) if single_level_kinds else []
         region, first = (
@@ -135,7 +135,7 @@
         return faults
 
     def draw_level_fault(self, kind: str, region: str, at: int) -> Fault:
-        """Return a fault of an allocator (killed or paused) or of a region."""
+        """Return a fault of an allocator, which is killed or paused, or of a region."""
         if kind == "region-cut":
             return Fault(at, kind, self.random.choice((5, 15, 40)) * SECOND_US, (region,))
         if kind == "region-pause":
@@ -147,7 +147,7 @@
     # Processes
 
     def make_node(self, host: Host, random: Random, now: int) -> Node:
-        """Return a node of both levels, or of the fleet's alone, which then leases the same sum."""
+        """Return a node of both levels, or with one level a node that leases from the same sum."""
         if self.levels == 1:
             stored = host.stored_promises.get(Level.FLEET)
             return BudgetNode(
@@ -167,7 +167,7 @@
         )
 
     def draw_demand(self, host: Host) -> None:
-        """Set a demand above or far below an equal share; it differs by region, and changes."""
+        """Set a demand from far below to far above an equal share; it differs by region and over time."""
         assert host.node is not None
         region = region_of(host.name)
         routers = len(self.hosts) // len(self.region_names)
@@ -178,7 +178,7 @@
         host.node.set_demand(demand)
 
     def move_demand(self) -> None:
-        """Draw another pattern of demand among the regions; the last one stays when all faults are over."""
+        """Draw a new distribution of demand over the regions; the last one stays once all faults are over."""
         for region in self.region_names:
             drawn = self.demand_random.choice(DEMAND_EIGHTHS)
             self.factors[region] = drawn if self.moving else max(DEMAND_EIGHTHS)
@@ -195,20 +195,20 @@
         for send in actions.sends:
             self.send(host, send.to, send.level, send.message)
             if send.level is Level.FLEET and isinstance(send.message, LeaseRequest | LeaseGrant):
-                self.check_invariant()  # what is booked for a region has changed, or is about to
+                self.check_invariant()  # the amounts booked for a region have changed or are about to
         for event in actions.events:
             is_fleet_level = event.level is Level.FLEET
             self.record_event(host, event.event if is_fleet_level else f"region {event.event}", event.detail)
 
     def run(self) -> Result:
-        """Run to the end, and return the result."""
+        """Run the simulation to its end and return the result."""
         self.move_demand()
         return super().run()
 
     # Invariant and samples
 
     def budget_state(self) -> BudgetState:
-        """Return all live leases and bookings, at both levels."""
+        """Return all unexpired leases and ledger entries of both levels."""
         leases = [RegionAmounts(region_of(host.name), host.lease_amounts) for host in self.hosts_with_lease()]
         if self.levels == 1:
             return BudgetState(self.totals, tuple(RegionBounds(r, (0,)) for r in self.region_names), leases)
@@ -220,7 +220,7 @@
         return BudgetState(fleet_allocatable, bounds, leases, self.parent_leases(), self.bookings())
 
     def parent_leases(self) -> list[RegionAmounts]:
-        """Return the parent lease of each process that acts for a region."""
+        """Return the parent lease of each process that requests leases for a region."""
         leases = []
         for host in self.hosts.values():
             if isinstance(host.node, TwoLevelNode) and host.node.fleet.requests_leases:
@@ -229,7 +229,7 @@
         return leases
 
     def bookings(self) -> list[RegionAmounts] | None:
-        """Return the ledger of the fleet's allocator, once its wait for older tenures is over."""
+        """Return the ledger of the fleet's allocator once its wait for older leases is over, else None."""
         for host in self.hosts.values():
             now = host.local_us(self.clock.now_us)
             if isinstance(host.node, TwoLevelNode) and host.node.fleet.is_allocator(now):
@@ -255,7 +255,7 @@
             self.sample_cut(cut)
 
     def sample_cut(self, cut: Cut) -> None:
-        """Sample a region while it is cut off, once its parent lease is surely over, and after."""
+        """Sample a region once its parent lease must have expired during a cut, and its later recovery."""
         now = self.clock.now_us
         plan = self.plans[cut.region]
         leases = [
@@ -277,7 +277,7 @@
     # Faults
 
     def begin_fault(self, fault: Fault) -> None:
-        """Begin a fault; with one level a region allocator's fault hits the region's first voter."""
+        """Begin a fault; with one level a region allocator's fault is applied to the region's first voter."""
         if fault.kind == "fleet-allocator":
             self.disrupt([host for host in self.hosts.values() if self.allocates(host)], fault)
         elif fault.kind == "region-allocator":
@@ -291,45 +291,41 @@
             super().begin_fault(fault)
 
     def pairs_across(self, region: str) -> set[tuple[str, str]]:
-        """Return all pairs, either way, of a router in the region and one outside."""
+        """Return all pairs, in both directions, of a router inside the region and one outside."""
         inside = [name for name in self.hosts if region_of(name) == region]
         outside = [name for name in self.hosts if region_of(name) != region]
         outgoing = {(sender, receiver) for sender in inside for receiver in outside}
         return outgoing | {(receiver, sender) for sender, receiver in outgoing}
 
     def allocates(self, host: Host) -> bool:
-        """Return whether this process is the fleet's allocator, or acts as if it were."""
+        """Return whether this process is the fleet's allocator or still acts as one after its term."""
         if isinstance(host.node, TwoLevelNode):
             return host.node.fleet.allocator is not None
         return super().allocates(host)
 
     def region_allocators(self, region: str) -> list[Host]:
-        """Return the processes that are a region's allocator, or act as if they were."""
+        """Return the processes that are a region's allocator or still act as one after their term."""
         hosts = [host for host in self.hosts.values() if region_of(host.name) == region]
         if self.levels == 1:
             return [host for host in hosts[:1] if host.node is not None]
-        return [
-            host
-            for host in hosts
-            if isinstance(host.node, TwoLevelNode) and host.node.region.allocator is not None
-        ]
+        return [h for h in hosts if isinstance(h.node, TwoLevelNode) and h.node.region.allocator is not None]
 
 
 class LevelsResult(NamedTuple):
-    """The result of one run, and samples of regions that were cut off."""
+    """The result of one run, and the samples of regions that were cut off."""
 
     result: Result
     cuts: list[Cut]
 
 
 def play(seed: int, regions: int, routers: int, levels: int) -> LevelsResult:
-    """Play one run; a function of the module, so that another process can be given it."""
+    """Run one simulation; a function of the module, so that a process pool can pickle it."""
     world = LevelsWorld(seed, regions, routers, levels=levels)
     return LevelsResult(world.run(), world.cuts)
 
 
 def summarize_levels(runs: Sequence[LevelsResult]) -> dict[str, Any]:
-    """Return the figures of one level, and those of regions that were cut off."""
+    """Return the figures of all runs, as with one level, and those of regions that were cut off."""
     cuts = [cut for run in runs for cut in run.cuts]
     reserve_shares = [share for cut in cuts for share in cut.reserve_share]
     own_shares = [share for cut in cuts for share in cut.own_share]
--- a/lupintack/lab/budget_results.py
+++ b/lupintack/lab/budget_results.py
@@ -1,4 +1,4 @@
-"""Results of runs of fleets with budgets, and their summary."""
+"""Results of simulated fleets with budgets, and their summary."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     violation_count: int = 0
     violations: list[str] = field(default_factory=list)
     leased_shares: list[float] = field(default_factory=list)  # of the first budget, at each sample
-    calm_leased_shares: list[float] = field(default_factory=list)  # before the first fault
-    converge_us: int = -1  # from the last fault's end until nine tenths are in use, for good
+    calm_leased_shares: list[float] = field(default_factory=list)  # samples before the first fault
+    converge_us: int = -1  # from the last fault's end until nine tenths are leased and stay so; -1 if never
     starved_us: int = 0
     epochs: int = 0
     messages: int = 0
-    has_voter_majority: bool = True  # a majority of the voters is alive at the end: else nobody can allocate
+    has_voter_majority: bool = True  # at the end; without it no allocator can be elected
     hash: str = ""
 
 
 def summarize(results: Sequence[Result]) -> dict[str, Any]:
-    """Return the figures of all runs, for one line of JSON."""
+    """Return the figures of all runs, to be printed as one line of JSON."""
     leased_shares = [share for result in results for share in result.leased_shares]
     calm_shares = [share for result in results for share in result.calm_leased_shares]
     converge_times_us = sorted(result.converge_us for result in results if result.converge_us >= 0)
--- a/lupintack/lab/budgets.py
+++ b/lupintack/lab/budgets.py
@@ -1,7 +1,7 @@
 """Simulated fleets with budgets on a virtual clock.
 
-Each process's clock runs at a rate of its own, faults are drawn from seeds, and the invariant is checked
-whenever the sum of all leases can grow.
+Each process's clock has its own rate, faults are drawn from seeds, and the invariant is checked whenever the
+sum of all leases can grow.
 """
 
 from __future__ import annotations
@@ -43,12 +43,12 @@
 SETTLE_US = 22 * SECOND_US  # after the last fault
 SAMPLE_INTERVAL_US = 250_000
 VOTER_COUNT = 5
-START_US = 14 * SECOND_US  # the first tenure has waited by then
-FAULT_DELAY_US = 12 * SECOND_US  # drawn faults come so much later
+START_US = 14 * SECOND_US  # by then the first tenure's wait for earlier leases is over
+FAULT_DELAY_US = 12 * SECOND_US  # added to the time of each drawn fault
 
 
 class World:
-    """One run."""
+    """One run of a simulated fleet with budgets."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         script: Sequence[Fault] | None = None,
         node_class: type[BudgetNode] = BudgetNode,
     ) -> None:
-        """A run of `routers` hosts, with faults drawn from `seed` unless a script is given."""
+        """Prepare a run of `routers` hosts, with faults drawn from `seed` unless a script is given."""
         self.totals, self.node_class = tuple(totals), node_class
         names = [f"n{n}" for n in range(routers)]
         site_count = max(1, min(8, routers // 3))
@@ -70,7 +70,7 @@
         self.plan_faults(kinds, script)
 
     def set_up(self, seed: int, site_by_name: dict[str, str], terms: Terms) -> None:
-        """Hosts at their sites, each with a clock of its own, and the network between them."""
+        """Create the hosts at their sites, each with its own clock, and the network between them."""
         self.random = Random(seed)
         self.clock = VirtualClock()
         self.terms = terms
@@ -89,19 +89,19 @@
         self.digest = hashlib.blake2b(digest_size=8)
 
     def plan_faults(self, kinds: Sequence[str], script: Sequence[Fault] | None) -> None:
-        """Plan the script's faults, or draw some of these kinds."""
+        """Use the faults of the script, or draw faults of these kinds, and set when the run ends."""
         if script is not None:
             self.faults = list(script)
         else:
             self.faults = [
-                replace(fault, at_us=fault.at_us + FAULT_DELAY_US) for fault in self.draw_faults(kinds)
+                replace(drawn, at_us=drawn.at_us + FAULT_DELAY_US) for drawn in self.draw_faults(kinds)
             ]
         self.faults_end_us = max((fault.end_us() for fault in self.faults), default=8 * SECOND_US)
         self.faults_begin_us = min((fault.at_us for fault in self.faults), default=8 * SECOND_US)
         self.end_us = self.faults_end_us + SETTLE_US
 
     def draw_faults(self, kinds: Sequence[str]) -> list[Fault]:
-        """Return faults drawn by the seed, from the run's beginning on."""
+        """Return faults drawn from the seed, before FAULT_DELAY_US is added to their times."""
         other_kinds = [kind for kind in kinds if kind != "divider"]
         faults = draw_faults(self.random, list(self.hosts), self.network.sites, other_kinds)
         if "divider" in kinds:
@@ -110,7 +110,7 @@
         return faults
 
     def run(self) -> Result:
-        """Run to the end, and return the result."""
+        """Run the simulation to its end and return the result."""
         for name in self.hosts:
             self.launch(name)
         for fault in self.faults:
@@ -126,13 +126,13 @@
         return self.has_live_majority(self.voters)
 
     def has_live_majority(self, names: Sequence[str]) -> bool:
-        """Return whether more than half of these have a process."""
+        """Return whether more than half of these hosts have a process."""
         return sum(self.hosts[name].node is not None for name in names) * 2 > len(names)
 
     # Processes
 
     def launch(self, name: str) -> None:
-        """Start a process; in three of four cases the disk still has the voter's promise."""
+        """Start a process; with a probability of 0.25 its stored promises are lost."""
         host = self.hosts[name]
         host.starts += 1
         now = host.local_us(self.clock.now_us)
@@ -151,14 +151,14 @@
         )
 
     def draw_demand(self, host: Host) -> None:
-        """Set a demand above an equal share, at times far above: demand moves between sites."""
+        """Set a demand of 2, 4 or 20 times an equal share, so that demand moves between hosts."""
         assert host.node is not None
         host.node.set_demand(
             [total * self.random.choice((2, 4, 20)) // len(self.hosts) + 1 for total in self.totals]
         )
 
     def kill(self, host: Host) -> None:
-        """End a process without notice."""
+        """End a process without a graceful shutdown."""
         host.node, host.inbox, host.lease_amounts, host.lease_ends_us = None, [], (), 0.0
 
     def call_node(self, host: Host, node: Node, method: Callable[..., Any], *arguments: Any) -> None:
@@ -174,7 +174,7 @@
         self.schedule_tick(host)
 
     def perform(self, host: Host, actions: Actions) -> None:
-        """Perform the actions of a call: store the promise before anything is sent."""
+        """Perform the actions of a call; the promise is stored before any message is sent."""
         if actions.promise is not None:
             host.stored_promises[Level.FLEET] = actions.promise
         for to, message in actions.sends:
@@ -183,7 +183,7 @@
             self.record_event(host, event, detail)
 
     def record_event(self, host: Host, event: str, detail: str) -> None:
-        """Record an event in the run's figures and hash."""
+        """Add an event to the run's figures and hash."""
         self.result.epochs += event == "won"
         self.digest.update(f"{self.clock.now_us} {host.name} {event} {detail}".encode())
 
@@ -196,7 +196,7 @@
                 self.clock.schedule(host.true_us(node.wake_us), self.tick, host, node, node.wake_us)
 
     def tick(self, host: Host, node: Node, planned_us: int) -> None:
-        """Tick a process, unless another tick was scheduled since."""
+        """Tick a process, unless another tick has been scheduled since or the process is paused."""
         if host.node is node and host.planned_tick_us == planned_us:
             if host.pause_count:
                 return
@@ -206,21 +206,21 @@
             self.call_node(host, node, node.tick)
 
     def send(self, host: Host, to: str, *arguments: Any) -> None:
-        """Send a message; `arguments`: of the node's `receive`, beside the sender and the time."""
+        """Send a message; `arguments` are those of the node's `receive` between the sender and the time."""
         self.result.messages += 1
         other = self.hosts[to]
         for delay_us in self.network.delivery_delays(host.name, to):
             self.clock.schedule(self.clock.now_us + delay_us, self.deliver, other, host.name, *arguments)
 
     def deliver(self, host: Host, sender: str, *arguments: Any) -> None:
-        """Deliver a message to whichever process the host has."""
+        """Deliver a message to the host's current process, if any."""
         if host.node is not None:
             self.call_node(host, host.node, host.node.receive, sender, *arguments)
 
     # Invariant and samples
 
     def record_lease(self, host: Host, node: Node) -> None:
-        """Record a process's lease and check the invariant: sums grow only where a grant is accepted."""
+        """Record a process's lease and check the invariant if it changed: only accepted grants raise sums."""
         now = host.local_us(self.clock.now_us)
         lease_amounts = node.leased_amounts(now)
         lease_ends_us = (
@@ -237,23 +237,23 @@
         self.check_invariant()
 
     def check_invariant(self) -> None:
-        """Count each bound that is exceeded now."""
+        """Count the invariant's current violations, and keep the texts of the first five."""
         for violation in violations(self.budget_state()):
             self.result.violation_count += 1
             if len(self.result.violations) < 5:
                 self.result.violations.append(f"{self.clock.now_us / SECOND_US:.3f} s: {violation}")
 
     def hosts_with_lease(self) -> list[Host]:
-        """Return the hosts whose process is alive or paused, and has a lease that has not expired."""
+        """Return the hosts with a process, running or paused, whose lease has not expired."""
         now = self.clock.now_us
         return [host for host in self.hosts.values() if host.node is not None and now < host.lease_ends_us]
 
     def budget_state(self) -> BudgetState:
-        """Return all live leases."""
+        """Return all unexpired leases."""
         return single_level(self.totals, [host.lease_amounts for host in self.hosts_with_lease()])
 
     def leased_share(self) -> float:
-        """Return the part of the first budget that is leased now."""
+        """Return the share of the first budget that is leased now."""
         return sum(host.lease_amounts[0] for host in self.hosts_with_lease()) / self.totals[0]
 
     def sample(self) -> None:
@@ -304,11 +304,11 @@
                     self.clock.schedule(fault.end_us(), restore)
 
     def allocates(self, host: Host) -> bool:
-        """Return whether this process is the fleet's allocator, or acts as if it were."""
+        """Return whether this process is the fleet's allocator or still acts as one after its term."""
         return isinstance(host.node, BudgetNode) and host.node.allocator is not None
 
     def disrupt(self, hosts: Sequence[Host], fault: Fault) -> None:
-        """Pause processes for the fault's time, or kill them and start them again two seconds later."""
+        """Pause processes for the fault's duration; without one, kill and restart them two seconds later."""
         if fault.duration_us:
             self.pause(hosts, fault.end_us())
             return
@@ -323,13 +323,13 @@
         self.kill(host)
 
     def pause(self, hosts: Sequence[Host], until_us: int) -> None:
-        """Pause processes until then."""
+        """Pause processes until `until_us`."""
         for host in hosts:
             host.pause_count += 1
             self.clock.schedule(until_us, self.resume, host)
 
     def resume(self, host: Host) -> None:
-        """Resume a process, with the calls queued meanwhile."""
+        """End one pause of a process; after the last one, run the calls queued meanwhile."""
         host.pause_count -= 1
         if host.pause_count or host.node is None:
             return
@@ -341,5 +341,5 @@
         self.call_node(host, node, node.tick)
 
     def set_islands(self, islands: dict[str, int]) -> None:
-        """Cut the hosts into islands."""
+        """Set the islands into which the hosts are partitioned."""
         self.network.islands = islands
--- a/lupintack/lab/charts.py
+++ b/lupintack/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts of the lab, by matplotlib (extra `lab`), with the data beside them as CSV."""
+"""Charts of the lab, drawn by matplotlib (extra `lab`), each with its data in a CSV file of the same name."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def create_figure() -> Any:
-    """Return a figure and its axes, without a display."""
+    """Return a figure and its axes, for a backend without a display."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -21,11 +21,11 @@
 
 
 def plot_detection_times(path: Path, results: Sequence[Result]) -> None:
-    """Plot the time from a crash to its detection, over all observers."""
+    """Plot the distribution of the time from a crash to its detection, over all observers."""
     seconds = sorted(us / 1e6 for result in results for us in result.detect_us)
     figure, axes = create_figure()
     axes.plot(seconds, [(index + 1) / len(seconds) for index in range(len(seconds))], linewidth=1.5)
-    axes.set_xlabel("crash to told, s")
+    axes.set_xlabel("time from crash to detection, s")
     axes.set_ylabel("share of observers")
     axes.set_title(
         f"{len(results)} runs of {results[0].routers} routers, seeds {results[0].seed} to {results[-1].seed}"
@@ -42,13 +42,13 @@
 def plot_lines(
     path: Path, series: dict[str, list[tuple[float, float, float, float]]], x: str, y: str, title: str
 ) -> None:
-    """Plot lines with intervals: for each series points (x, y, low, high)."""
+    """Plot lines with error bars; each series has points (x, y, low, high)."""
     figure, axes = create_figure()
     for name, points in series.items():
         axes.errorbar(
-            [point[0] for point in points],
-            [point[1] for point in points],
-            yerr=[[point[1] - point[2] for point in points], [point[3] - point[1] for point in points]],
+            [p[0] for p in points],
+            [p[1] for p in points],
+            yerr=[[p[1] - p[2] for p in points], [p[3] - p[1] for p in points]],
             marker="o",
             capsize=3,
             linewidth=1.3,
--- a/lupintack/lab/fault_injection.py
+++ b/lupintack/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection into a simulated fleet: faults of processes and hosts; `network_faults` has the others."""
+"""Injection of process and host faults into a simulated fleet; `network_faults` has those of the network."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class FaultInjector:
-    """Begins faults and ends them after their duration; faults may overlap."""
+    """Injects faults and ends them after their duration; faults may overlap."""
 
     def __init__(self, fleet: SimulatedFleet) -> None:
-        """Begin without any fault."""
+        """Start without faults."""
         self.fleet = fleet
         self.clock = fleet.clock
         self.island_impairments: list[Impairment] = []
         self.islands_changed_us = 0
 
     def inject(self, fault: Fault) -> None:
-        """Begin a fault now."""
+        """Begin a fault at the current time."""
         hosts = [self.fleet.hosts[name] for name in fault.targets if name in self.fleet.hosts]
         match fault.kind:
             case "kill" | "vanish":
--- a/lupintack/lab/faults.py
+++ b/lupintack/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a simulation, drawn from a seed or read from a TOML script."""
+"""Faults to inject into a simulation, drawn from a seed or read from a TOML script."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from typing import Any
 
 FAULT_KINDS = {
-    "kill": "processes end; their ports refuse",
-    "vanish": "hosts become unreachable for good",
-    "restart": "processes end and start again at once, with their names and addresses",
-    "rolling": "graceful restarts, a few at a time",
-    "leave": "processes leave on purpose",
+    "kill": "processes end; their ports refuse connections",
+    "vanish": "hosts become unreachable permanently",
+    "restart": "processes end and restart immediately, with the same names and addresses",
+    "rolling": "processes are restarted gracefully, a few at a time",
+    "leave": "processes leave the membership gracefully",
     "pause": "processes are paused and resumed",
-    "loss": "a share of all datagrams is lost",
-    "delay": "each direction is delayed",
+    "loss": "a share of all datagrams is dropped",
+    "delay": "datagrams are delayed in each direction",
     "double": "datagrams are duplicated and reordered",
-    "oneway": "pairs are cut in one direction",
-    "mute": "nothing that some routers send arrives",
-    "deaf": "nothing arrives at some routers",
-    "site": "a site is cut off, and comes back",
-    "halves": "the sites fall into two islands",
-    "islands": "the sites fall into three islands, which heal one after another",
-    "flap": "a site is cut off and comes back every second",
+    "oneway": "pairs of routers are cut off in one direction",
+    "mute": "all datagrams from some routers are dropped",
+    "deaf": "all datagrams to some routers are dropped",
+    "site": "a site is cut off and reconnected",
+    "halves": "the sites are partitioned into two islands",
+    "islands": "the sites are partitioned into three islands, which are joined one after another",
+    "flap": "a site is cut off and reconnected in alternate seconds",
     "flood": "corrupted, foreign and replayed datagrams",
-    "join": "new routers",
+    "join": "new routers join",
 }
 
 
@@ -37,7 +37,7 @@
 MAX_FAULT_OFFSET_US = 3 * SECOND_US
 MAX_NAMES_FOR_ALL_PAIRS = 16
 SCRIPT_KEYS = {"at_s", "kind", "for_s", "who", "size"}
-# The shares of the processes that may be drawn; 0 stands for a single one.
+# Shares of the processes to draw from; 0 stands for a single process.
 PROCESS_FAULT_SHARES = {
     "kill": (0.0, 0.02, 0.1, 0.7),
     "vanish": (0.0, 0.02, 0.1),
@@ -54,7 +54,7 @@
 
 
 class ScriptError(ValueError):
-    """A script that can't be used."""
+    """A script or a fault kind is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 
 def draw_fault(random: Random, names: Sequence[str], sites: dict[str, str], kind: str, at_us: int) -> Fault:
-    """Return one fault of a kind, its targets and magnitude from the seed; ScriptError for a wrong kind."""
+    """Return a fault of this kind with drawn targets and duration; raise ScriptError for an unknown kind."""
     site = random.choice(sorted(set(sites.values())))
     if kind in PROCESS_FAULT_SHARES:
         share = random.choice(PROCESS_FAULT_SHARES[kind])
@@ -111,7 +111,7 @@
         case "join":
             added = max(1, len(names) // 20)
             return Fault(at_us, kind, 0, tuple(f"new{at_us}-{number}" for number in range(added)))
-    raise ScriptError(f"unknown fault {kind!r}; wanted is one of {', '.join(FAULT_KINDS)}")
+    raise ScriptError(f"unknown fault kind {kind!r}; expected one of {', '.join(FAULT_KINDS)}")
 
 
 def _sample(random: Random, names: Sequence[str], share: float) -> tuple[str, ...]:
@@ -130,7 +130,7 @@
 
 
 def read_script(path: Path) -> list[Fault]:
-    """Return the faults of a TOML file with tables `[[fault]]`; ScriptError for one that can't be used."""
+    """Return the faults of a TOML file with tables `[[fault]]`; raise ScriptError if it is invalid."""
     try:
         data: dict[str, Any] = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -143,7 +143,7 @@
 def _parse_fault(table: dict[str, Any], place: str) -> Fault:
     unknown = set(table) - SCRIPT_KEYS
     if unknown or table.get("kind") not in FAULT_KINDS:
-        raise ScriptError(f"{place}: {sorted(unknown) or table.get('kind')!r} is not known")
+        raise ScriptError(f"{place}: {sorted(unknown) or table.get('kind')!r} is not a known key or kind")
     try:
         return Fault(
             at_us=int(float(table.get("at_s", 0)) * SECOND_US),
@@ -153,4 +153,4 @@
             magnitude=float(table.get("size", 0)),
         )
     except (TypeError, ValueError, OverflowError):
-        raise ScriptError(f"{place}: numbers and names are wanted") from None
+        raise ScriptError(f"{place}: at_s, for_s and size must be numbers, and who a list of names") from None
--- a/lupintack/lab/hosts.py
+++ b/lupintack/lab/hosts.py
@@ -1,4 +1,4 @@
-"""Simulated hosts: the router process of each, and the times in which a fault impaired it."""
+"""Simulated hosts, each with its router process and the periods in which a fault impaired it."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class SimulatedMembership(Protocol):
-    """The interface that the simulation drives: the membership, or a baseline in its place."""
+    """Interface between the simulation and the membership or a baseline that replaces it."""
 
     wake_us: int
 
     def start(self, now_us: int) -> Actions:
-        """Begin."""
+        """Start the membership."""
 
     def tick(self, now_us: int) -> Actions:
-        """Do what is due."""
+        """Perform the actions that are due."""
 
     def receive(self, raw_length: int, message: Message, now_us: int) -> Actions:
         """Handle a datagram."""
@@ -32,13 +32,13 @@
         """Handle the result of a connection probe."""
 
     def on_full_state(self, received: FullState, now_us: int) -> tuple[FullState, Actions]:
-        """Answer an exchange."""
+        """Answer a full-state exchange."""
 
     def on_full_state_answer(self, received: FullState, now_us: int) -> Actions:
         """Handle the answer to an exchange."""
 
     def leave(self, now_us: int) -> Actions:
-        """Leave on purpose."""
+        """Leave the membership gracefully."""
 
 
 MembershipFactory = Callable[[Record, MembershipConfig, Random, Sequence[str]], SimulatedMembership]
@@ -48,13 +48,13 @@
 def create_membership(
     me: Record, config: MembershipConfig, random: Random, seeds: Sequence[str]
 ) -> SimulatedMembership:
-    """Return the product's membership."""
+    """Return the membership that routers run in production."""
     return Membership(me, config, random, seeds, max_message_bytes)
 
 
 @dataclass(slots=True)
 class Impairment:
-    """A time in which a fault keeps a host from its part."""
+    """A period in which a fault keeps a host from taking part in the membership."""
 
     from_us: int
     until_us: int | None = None  # None while it lasts
@@ -69,12 +69,12 @@
     membership: SimulatedMembership | None = None  # of the running process
     start: int = 0
     ended_us: dict[int, int] = field(default_factory=dict)  # when each process ended, by its start
-    is_unreachable: bool = False  # the machine is gone, too: its ports don't refuse
-    pause_count: int = 0  # pauses that last
-    inbox: list[Call] = field(default_factory=list)  # calls that wait for the end of a pause
-    planned_us: int = -1  # of the next tick
+    is_unreachable: bool = False  # the host is down too: connections to it are not refused
+    pause_count: int = 0  # number of pauses in effect
+    inbox: list[Call] = field(default_factory=list)  # calls queued until the end of a pause
+    planned_us: int = -1  # time of the next scheduled tick
     impairments: list[Impairment] = field(default_factory=list)
-    notified: dict[str, int] = field(default_factory=dict)  # the members, by name with their start
+    notified: dict[str, int] = field(default_factory=dict)  # starts of the members last reported, by name
     sent_bytes: int = 0
     changes: int = 0
     launched_us: int = 0
--- a/lupintack/lab/members.py
+++ b/lupintack/lab/members.py
@@ -1,6 +1,6 @@
 """A simulated fleet under faults drawn from a seed or read from a script, and the outcome.
 
-Only clocks and packets are modelled. A seed gives the same run, and the same hash, in any process.
+Only clocks and packets are modelled. A seed gives the same run and the same hash in any process.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class World(SimulatedFleet):
-    """One run."""
+    """One run of a simulated fleet, with its faults and its recorded outcome."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.recorder = OutcomeRecorder(self, self.injector, self.result, faults_end_us, self.log)
 
     def run(self) -> Result:
-        """Play the whole run."""
+        """Run the simulation to its end and return the result."""
         for number, name in enumerate(self.names):
             self.clock.schedule(number * LAUNCH_PERIOD_US // len(self.names), self.launch, name)
         for fault in self.faults:
@@ -70,11 +70,11 @@
             self.trace(f"{self.clock.now_us / SECOND:9.3f} {text}")
 
     def inject_fault(self, fault: Fault) -> None:
-        """Begin a fault."""
+        """Log a fault and inject it."""
         targets = " ".join(fault.targets[:12])
         self.log(f"fault {fault.kind} for {fault.duration_us / SECOND} s: {targets} {fault.magnitude or ''}")
         self.injector.inject(fault)
 
     def on_change(self, host: Host, change: MembershipChange) -> None:
-        """Record a notification of a router's users."""
+        """Record a change that a router reports to its users."""
         self.recorder.on_change(host, change)
--- a/lupintack/lab/network.py
+++ b/lupintack/lab/network.py
@@ -1,4 +1,4 @@
-"""A virtual network between named hosts: delay, loss, duplicates, reordering, and cuts by direction."""
+"""A virtual network between named hosts, with delay, loss, duplicates, reordering and one-way cuts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class LinkConditions:
-    """The treatment of every datagram."""
+    """Faults applied to every datagram of the network."""
 
     loss_share: float = 0.0
     delay_us: int = 0  # added to each direction
@@ -24,28 +24,28 @@
     def __init__(
         self, random: Random, sites: dict[str, str], local_delay_us: int = 300, remote_delay_us: int = 12_000
     ) -> None:
-        """Begin without faults; `sites` gives the site of each host, the delays those within and between."""
+        """Start without faults; `sites` maps hosts to sites; delays apply within a site and between sites."""
         self.random = random
         self.sites = sites
         self.local_delay_us, self.remote_delay_us = local_delay_us, remote_delay_us
         self.conditions = LinkConditions()
         self.cut_pairs: set[tuple[str, str]] = set()  # sender and receiver
-        self.deaf: set[str] = set()  # nothing reaches them
-        self.mute: set[str] = set()  # nothing of theirs reaches anybody
-        self.islands: dict[str, int] = {}  # by site or name; other islands aren't reached
+        self.deaf: set[str] = set()  # hosts that receive nothing
+        self.mute: set[str] = set()  # hosts whose datagrams are all dropped
+        self.islands: dict[str, int] = {}  # by site or host; hosts on different islands are cut off
 
     def island_of(self, name: str) -> int:
         """Return the island of a host."""
         return self.islands.get(name, self.islands.get(self.sites[name], 0))
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Return whether nothing goes from the sender to the receiver."""
+        """Return whether all datagrams from the sender to the receiver are dropped."""
         if (sender, receiver) in self.cut_pairs or sender in self.mute or receiver in self.deaf:
             return True
         return bool(self.islands) and self.island_of(sender) != self.island_of(receiver)
 
     def delivery_delays(self, sender: str, receiver: str) -> list[int]:
-        """Return the delay in microseconds of each copy of a datagram that arrives: none, one or two."""
+        """Return the delays, in microseconds, of the zero to two copies of a datagram that arrive."""
         if self.is_cut(sender, receiver):
             return []
         conditions, random = self.conditions, self.random
--- a/lupintack/lab/network_faults.py
+++ b/lupintack/lab/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the virtual network, the same for each kind of simulated fleet."""
+"""Faults of the virtual network, shared by the simulations of the membership and of budgets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     sites: Iterable[str],
     set_islands: Callable[[dict[str, int]], None],
 ) -> Callable[[], None] | None:
-    """Begin a fault of the network and return the function that heals it; None for another kind."""
+    """Begin a network fault and return the function that ends it; None for other kinds of fault."""
     match fault.kind:
         case "loss" | "delay" | "double":
             network.conditions = _conditions(fault)
@@ -42,7 +42,7 @@
         case "islands":
             islands = _split(sites, 3)
             set_islands(islands)
-            # The first two are joined halfway through, the third at the end.
+            # Two islands are joined halfway through, the third at the end.
             last = {site: island for site, island in islands.items() if island == 2}
             clock.schedule(clock.now_us + fault.duration_us // 2, set_islands, last)
         case _:
--- a/lupintack/lab/outcome.py
+++ b/lupintack/lab/outcome.py
@@ -1,4 +1,4 @@
-"""Outcome of a simulation: false and missed removals, detection times, agreement, bytes."""
+"""Outcome of a simulation: false and missed removals, detection times, agreement of views, bytes sent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SETTLE_US = 16 * SECOND  # after the end of the last fault
 MIN_EXCUSED_IMPAIRMENT_US = 5 * SECOND  # a host that was impaired for longer may be removed
-EXCUSE_AFTER_US = 14 * SECOND  # and for this time afterwards
+EXCUSE_AFTER_US = 14 * SECOND  # a host may still be removed for this long after such an impairment
 EXCUSE_AFTER_LAUNCH_US = 3 * SECOND
 MAX_IMPAIRMENT_GAP_US = SECOND  # impairments that are closer are counted as one
 SAMPLE_INTERVAL_US = 250_000
@@ -30,17 +30,17 @@
     false_removals: int = 0
     missed: int = 0
     surplus_views: int = 0
-    detect_us: list[int] = field(default_factory=list)  # from a crash to each observer's notification
+    detect_us: list[int] = field(default_factory=list)  # from a crash to its report by each router
     agree_us: int = -1  # from the end of the last fault until all views are equal and stay so
     bytes_per_s: float = 0.0
-    changes: int = 0  # of the router that notified most often
+    changes: int = 0  # of the router that reported the most changes
     hash: str = ""
     broken_invariant: str = ""
     false_removal_texts: list[str] = field(default_factory=list)
 
 
 class OutcomeRecorder:
-    """Judges each notification of a fleet, and samples whether the views agree."""
+    """Classifies each reported change of a fleet, and samples whether the views agree."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         faults_end_us: int,
         log: Callable[[str], None],
     ) -> None:
-        """Begin to fill `result`; `log` takes a line of the trace."""
+        """Record into `result`; `log` writes a line of the trace."""
         self.fleet = fleet
         self.injector = injector
         self.result = result
@@ -60,7 +60,7 @@
         self.agreed_since_us = -1
 
     def on_change(self, host: Host, change: MembershipChange) -> None:
-        """Record a notification of a router's users, and judge its removals."""
+        """Record a change that a router reports to its users, and classify its removals."""
         now_us = self.fleet.clock.now_us
         joined, removed = change.joined, change.removed
         members = {member.name for member in change.members}
@@ -95,7 +95,7 @@
                 self.log(f"FALSE removal of {name} at {host.name}")
 
     def in_minority_island(self, host: Host) -> bool:
-        """Return whether a router is with half of the routers or fewer, where none may be removed."""
+        """Return whether a router's island has at most half of the routers: it must not remove any then."""
         network = self.fleet.network
         islands_age_us = self.fleet.clock.now_us - self.injector.islands_changed_us
         if not network.islands or islands_age_us < MIN_EXCUSED_IMPAIRMENT_US:
@@ -105,7 +105,7 @@
         return sum(network.island_of(name) == island for name in names) * 2 <= len(names)
 
     def is_excused(self, host: Host) -> bool:
-        """Return whether a recent impairment was so long that a host may be removed, or be wrong itself."""
+        """Return whether a recent long impairment, or a recent launch, excuses removals of or by a host."""
         now_us = self.fleet.clock.now_us
         spans = sorted(
             (impairment.from_us, now_us if impairment.until_us is None else impairment.until_us)
@@ -122,7 +122,7 @@
         return now_us - host.launched_us < EXCUSE_AFTER_LAUNCH_US
 
     def sample_views(self) -> None:
-        """Record since when all running routers count the same processes."""
+        """Record since when the views of all running routers are equal."""
         fleet = self.fleet
         if fleet.clock.now_us >= self.faults_end_us:
             if len({fleet.view_id(host) for host in fleet.running()}) > 1:
--- a/lupintack/lab/planted_bugs.py
+++ b/lupintack/lab/planted_bugs.py
@@ -1,7 +1,7 @@
-"""Planted bugs, each of which the lab has to catch: they show that its checks can fail.
+"""Bugs planted in the membership, which show that the lab's checks can fail.
 
-A bug replaces one method or function of the membership while a run lasts. It is caught when an invariant is
-violated, a router is removed wrongly, a crash is missed or detected late, or the views don't converge.
+A bug replaces one method or function of the membership during a run. It is detected when an invariant is
+violated, a router is wrongly removed, a crash is missed or detected late, or the views don't converge.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class PlantedBug:
-    """A replacement of `target.attribute`, and the faults that show it."""
+    """A planted bug: a replacement of `target.attribute`, and the faults that reveal it."""
 
     description: str
     target: Any
@@ -79,7 +79,7 @@
 
 
 PLANTED_BUGS: dict[str, PlantedBug] = {
-    "last-word": PlantedBug("the record that came last wins", view, "join", _join_last, ("vanish",)),
+    "last-word": PlantedBug("the record received last wins", view, "join", _join_last, ("vanish",)),
     "same-incarnation": PlantedBug(
         "a refutation keeps the old incarnation", Membership, "_refute", _refute_same_incarnation, ("site",)
     ),
@@ -91,7 +91,7 @@
         "a removed router stays on the rings", ObserverRings, "remove", _remove_nothing, ("kill", "leave")
     ),
     "minority-decides": PlantedBug(
-        "the smaller part of a cut removes the others",
+        "the minority side of a partition removes the others",
         SuspicionTracker,
         "is_minority",
         property(_always(False)),
@@ -117,7 +117,7 @@
 
 
 def describe_problem(result: Result) -> str:
-    """Return what is wrong with a run in a few words, "" for nothing."""
+    """Return the first problem of a run as text, or "" if there is none."""
     if result.broken_invariant:
         return result.broken_invariant
     if result.false_removals:
@@ -130,7 +130,7 @@
 
 
 def find_seed(name: str, seeds: int) -> tuple[int | None, str]:
-    """Return the first seed whose run shows a planted bug and is clean without it, and the problem."""
+    """Return the first seed whose run has a problem only with the planted bug, and that problem."""
     bug = PLANTED_BUGS[name]
     for seed in range(seeds):
         with planted(bug):
@@ -141,8 +141,8 @@
 
 
 def describe_problem_in_run(bug: PlantedBug, seed: int) -> str:
-    """Return what is wrong with a seed's run of the bug's faults, whether or not the bug is planted."""
+    """Run a seed with the bug's faults and return the first problem, or ""; the bug need not be planted."""
     result = World(seed, ROUTERS, kinds=bug.kinds).run()
     if bug.kinds == ("kill",) and max(result.detect_us, default=0) > MAX_DETECTION_US:
-        return describe_problem(result) or f"a crash told after {max(result.detect_us) / SECOND:.1f} s"
+        return describe_problem(result) or f"a crash detected after {max(result.detect_us) / SECOND:.1f} s"
     return describe_problem(result)
--- a/lupintack/lab/simulated_fleet.py
+++ b/lupintack/lab/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Routers' memberships on a virtual clock and network: processes, datagrams and exchanges."""
+"""A fleet of routers' memberships on a virtual clock and network."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from lupintack.membership.view import Record, State, View
 
 SECOND = 1_000_000
-JOINED_BY_US = 5 * SECOND  # bytes are counted from here on
+JOINED_BY_US = 5 * SECOND  # bytes are counted from this time on
 EXCHANGE_TIMEOUT_US = SECOND
 EXCHANGE_OVERHEAD_BYTES = 60
-MAX_INBOX_CALLS = 2000  # a socket's buffer
+MAX_INBOX_CALLS = 2000  # stands for the size of a socket's buffer
 STEPS_PER_TABLE_CHECK = 512
 SEED_COUNT = 3
 
 
 class SimulatedFleet:
-    """Hosts whose processes exchange messages; a subclass decides what happens to them."""
+    """Hosts whose processes exchange messages; a subclass launches them and injects faults."""
 
     def __init__(
         self, random: Random, sites: dict[str, str], config: MembershipConfig, create: MembershipFactory
     ) -> None:
-        """Begin with a host for each name in `sites`, none of them started."""
+        """Create a host for each name in `sites`, without a process."""
         self.random = random
         self.clock = VirtualClock()
         self.config = config
@@ -45,14 +45,14 @@
         self.steps = 0
 
     def on_change(self, host: Host, change: MembershipChange) -> None:
-        """Handle a notification of a router's users."""
+        """Handle a change that a router reports to its users."""
 
     def running(self) -> list[Host]:
         """Return the hosts whose process runs and is not paused."""
         return [host for host in self.hosts.values() if host.is_up and not host.pause_count]
 
     def view_id(self, host: Host) -> int:
-        """Return the view id of a host's membership, 0 without one."""
+        """Return the view id of a host's membership, or 0 if it has none."""
         view = getattr(host.membership, "view", None)
         return view.id if isinstance(view, View) else 0
 
@@ -73,24 +73,24 @@
         return [f"{seed}:1" for seed in self.seeds if seed != host.name]
 
     def stop_process(self, host: Host) -> None:
-        """End a process without a leave."""
+        """End a process without a graceful leave."""
         if host.membership is not None:
             host.ended_us[host.start] = self.clock.now_us
             host.membership, host.inbox = None, []
 
     def leave(self, host: Host) -> None:
-        """Let a process leave, and end it."""
+        """Let a process leave gracefully, and end it; do nothing while it is paused."""
         if host.membership is not None and not host.pause_count:
             self.execute(host, host.membership.leave(self.clock.now_us))
             self.stop_process(host)
 
     def resume(self, host: Host) -> None:
-        """End one pause; after the last one, the process finds its timer and its socket due."""
+        """End one pause; after the last one, run the overdue tick and the queued calls."""
         host.pause_count -= 1
         if host.pause_count or host.membership is None:
             return
         inbox, host.inbox = host.inbox, []
-        # The process may serve either of the two first.
+        # A real process may serve either its timer or its socket first.
         if self.random.random() < 0.5:
             self.call(host, host.membership.tick)
         for method, arguments in inbox:
@@ -100,7 +100,7 @@
             self.call(host, host.membership.tick)
 
     def call(self, host: Host, method: Callable[..., Actions], *arguments: Any) -> None:
-        """Call a process, or queue the call while it is paused; nothing where it has ended meanwhile."""
+        """Call a process, or queue the call while it is paused; do nothing if the process has ended."""
         if host.membership is None or getattr(method, "__self__", None) is not host.membership:
             return
         if host.pause_count:
@@ -111,7 +111,7 @@
         self.execute(host, method(*arguments, self.clock.now_us))
 
     def execute(self, host: Host, actions: Actions) -> None:
-        """Carry out the actions of a call, and check the invariants."""
+        """Perform the actions of a call, and check the invariants."""
         membership = host.membership
         if membership is None:
             return
@@ -130,7 +130,7 @@
         self.schedule_tick(host)
 
     def schedule_tick(self, host: Host) -> None:
-        """Schedule the next tick, where it has moved."""
+        """Schedule the next tick if its time has changed."""
         membership = host.membership
         if membership is not None and host.planned_us != membership.wake_us:
             host.planned_us = membership.wake_us
@@ -144,11 +144,11 @@
     # Network
 
     def host_at(self, address: str) -> Host | None:
-        """Return the host of an address."""
+        """Return the host at an address, or None if there is none."""
         return self.hosts.get(address.partition(":")[0])
 
     def send(self, host: Host, name: str, address: str, message: Message) -> None:
-        """Send a datagram; InvariantError for one over the bound."""
+        """Send a datagram; raise InvariantError if it is too long."""
         length = max_message_bytes(message) + records_bytes(message.records)
         if length > self.config.max_datagram_bytes:
             raise InvariantError(f"{host.name}: a datagram of {length} bytes")
@@ -181,7 +181,7 @@
         self.clock.schedule(at_us, self.call, host, membership.on_probe_result, *result)
 
     def exchange(self, host: Host, address: str, full_state: FullState) -> None:
-        """Begin an exchange over TCP, which is completed in time or not at all."""
+        """Begin an exchange over TCP, unless it could not complete before its timeout."""
         other = self.host_at(address)
         if other is None or not self._can_connect(host, other):
             return
@@ -209,5 +209,5 @@
 
 
 def records_bytes(records: Sequence[WireRecord]) -> int:
-    """Return an upper bound of the bytes of some records."""
+    """Return an upper bound of the encoded size of the records, in bytes."""
     return sum(max_record_bytes(trusted_record(record)) for record in records)
