--- a/lupintack/lab/outcome.py
+++ b/lupintack/lab/outcome.py
@@ -67,7 +67,8 @@
         host.changes += 1
         self.digest.update(f"{now_us} {host.name} {sorted(joined)} {sorted(removed)}".encode())
         self.log(
-            f"{host.name} tells: {len(members)} members, came {list(joined)[:6]}, went {list(removed)[:6]}"
+            f"{host.name} reports: {len(members)} members, "
+            f"joined {list(joined)[:6]}, removed {list(removed)[:6]}"
         )
         previously_notified = host.notified
         starts: dict[str, int] = {}
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -79,9 +79,9 @@
     world = make_world(Fault(8 * S, "site", 20 * S, ("site1",)), trace=texts.append)
     result = world.run()
     assert not result.broken_invariant and result.surplus_views == 0
-    notified = [text for text in texts if " n0 tells" in text and float(text.split()[0]) > 8]
+    notified = [text for text in texts if " n0 reports" in text and float(text.split()[0]) > 8]
     assert len(notified) == 2 and "12 members" in notified[0] and "16 members" in notified[1], notified
-    cut = [text for text in texts if " n1 tells" in text and float(text.split()[0]) > 8]
+    cut = [text for text in texts if " n1 reports" in text and float(text.split()[0]) > 8]
     assert not cut, cut  # the smaller part removes nobody
 
 
@@ -90,9 +90,9 @@
     world = make_world(Fault(8 * S, "pause", 30 * S, ("n2",)), trace=texts.append)
     result = world.run()
     assert result.false_removals == 0 and result.surplus_views == 0
-    notified = [text for text in texts if " n0 tells" in text and float(text.split()[0]) > 8]
-    assert len(notified) == 2 and "went ['n2']" in notified[0] and "came ['n2']" in notified[1], notified
-    assert not [text for text in texts if " n2 tells" in text and "went []" not in text]
+    notified = [text for text in texts if " n0 reports" in text and float(text.split()[0]) > 8]
+    assert len(notified) == 2 and "removed ['n2']" in notified[0] and "joined ['n2']" in notified[1], notified
+    assert not [text for text in texts if " n2 reports" in text and "removed []" not in text]
 
 
 def test_a_router_whose_messages_get_lost_detects_it() -> None:
@@ -111,7 +111,7 @@
     second = json.loads(CliRunner().invoke(main, [*arguments, "--jobs", "2"]).output)
     assert first == second and first["runs"] == 4 and first["hash"]
     traced = CliRunner().invoke(main, ["lab", "members", "--routers", "8", "--seed", "1", "--trace"])
-    assert "fault" in traced.output and "tells" in traced.output
+    assert "fault" in traced.output and "reports" in traced.output
     wrong = CliRunner().invoke(main, ["lab", "members", "--faults", "rain"])
     assert wrong.exit_code == 2 and "'rain' is not known" in wrong.output
 
