--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""The limits that the project sets itself, and the README's example."""
+"""Rules for the source files, the README's example, KNOWN-RED.txt and the deploy file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_decisions_name_their_interface_and_import_little() -> None:
+def test_decisions_reference_their_interface_and_import_only_allowed_modules() -> None:
     folder = PACKAGE / "decisions"
     for name in ("__init__.py", "router.py"):
         assert "lupintack/interface.py" in (folder / name).read_text()[:200]
@@ -41,46 +41,46 @@
     }
     for path in folder.glob("*.py"):
         imported = {
-            n.module if isinstance(n, ast.ImportFrom) else n.names[0].name
-            for n in ast.walk(ast.parse(path.read_text()))
-            if isinstance(n, (ast.Import, ast.ImportFrom))
+            node.module if isinstance(node, ast.ImportFrom) else node.names[0].name
+            for node in ast.walk(ast.parse(path.read_text()))
+            if isinstance(node, (ast.Import, ast.ImportFrom))
         }
-        modules = {f"lupintack.decisions.{other.stem}" for other in folder.glob("*.py")}
-        random = {"random"} if path.name == "router.py" else set()
-        assert imported <= allowed | modules | random, path
+        decision_modules = {f"lupintack.decisions.{file.stem}" for file in folder.glob("*.py")}
+        extra = {"random"} if path.name == "router.py" else set()
+        assert imported <= allowed | decision_modules | extra, path
 
 
-def test_no_tuned_values_outside_the_module() -> None:
-    """Elsewhere numbers are wire codes (whole), or the stated defaults of settings that allow nothing."""
+def test_tuned_values_occur_only_in_the_decisions() -> None:
+    """Elsewhere numbers are integer wire codes, or documented defaults of settings whose feature is off."""
     for name in ("interface.py", "simulator_wire.py", "simulator_adapter.py"):
         for node in ast.walk(ast.parse((PACKAGE / name).read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, float):
                 assert node.value in (0.0, 1.0, 1000.0), (name, node.lineno)
             if name != "simulator_wire.py" and isinstance(node, ast.Compare):
                 assert not any(
-                    isinstance(c, ast.Constant)
-                    and isinstance(c.value, (int, float))
-                    and c.value not in (0, False, True)
-                    for c in node.comparators
+                    isinstance(operand, ast.Constant)
+                    and isinstance(operand.value, (int, float))
+                    and operand.value not in (0, False, True)
+                    for operand in node.comparators
                 ), (name, node.lineno)
 
 
 def test_readme_example_runs() -> None:
-    code = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
-    assert len(code) == 1
-    space: dict[str, object] = {}
-    exec(code[0], space)  # the page's own example, as a reader would run it
-    assert "fetch" in space
+    examples = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
+    assert len(examples) == 1
+    namespace: dict[str, object] = {}
+    exec(examples[0], namespace)  # the example exactly as printed in the README
+    assert "fetch" in namespace
 
 
-def test_known_red_names_tests_that_exist() -> None:
-    for name in KNOWN_RED:
-        file, _, rest = name.partition("::")
-        function = rest.partition("[")[0].rpartition("::")[2]
-        assert f"def {function}(" in (ROOT / file).read_text(), name
+def test_known_red_lists_only_existing_tests() -> None:
+    for node_id in KNOWN_RED:
+        file, _, test_name = node_id.partition("::")
+        function = test_name.partition("[")[0].rpartition("::")[2]
+        assert f"def {function}(" in (ROOT / file).read_text(), node_id
 
 
-def test_deploy_file_names_every_decision_file_and_only_paths_that_exist() -> None:
+def test_deploy_file_lists_every_decision_file_and_only_existing_paths() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     decisions = {str(path.relative_to(ROOT)) for path in (PACKAGE / "decisions").glob("*.py")}
     assert set(deploy["policy"]) == decisions
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""Size limits of files and functions of the package; what is larger today is listed and may only shrink."""
+"""Size limits of the package's files and functions; larger ones are listed and must not grow."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 
 def test_no_file_is_longer_than_the_limit_or_its_listed_length() -> None:
     lengths = {str(path.relative_to(PACKAGE)): path.read_text().count("\n") for path in PACKAGE.rglob("*.py")}
-    too_long = {name: n for name, n in lengths.items() if n > LONG_FILES.get(name, MAX_FILE_LINES)}
+    too_long = {
+        name: length for name, length in lengths.items() if length > LONG_FILES.get(name, MAX_FILE_LINES)
+    }
     assert not too_long
-    stale = {name for name in LONG_FILES if lengths.get(name, 0) <= MAX_FILE_LINES}
-    assert not stale, "no longer over the limit: remove the entry"
+    unneeded = {name for name in LONG_FILES if lengths.get(name, 0) <= MAX_FILE_LINES}
+    assert not unneeded, "no longer over the limit: remove the entry"
 
 
 def test_no_function_is_longer_than_the_limit_or_its_listed_length() -> None:
@@ -33,7 +35,11 @@
             if isinstance(node, ast.FunctionDef) and node.end_lineno is not None:
                 name = f"{path.relative_to(PACKAGE)}:{node.name}"
                 lengths[name] = max(lengths.get(name, 0), node.end_lineno - node.lineno + 1)
-    too_long = {name: n for name, n in lengths.items() if n > LONG_FUNCTIONS.get(name, MAX_FUNCTION_LINES)}
+    too_long = {
+        name: length
+        for name, length in lengths.items()
+        if length > LONG_FUNCTIONS.get(name, MAX_FUNCTION_LINES)
+    }
     assert not too_long
-    stale = {name for name in LONG_FUNCTIONS if lengths.get(name, 0) <= MAX_FUNCTION_LINES}
-    assert not stale, "no longer over the limit: remove the entry"
+    unneeded = {name for name in LONG_FUNCTIONS if lengths.get(name, 0) <= MAX_FUNCTION_LINES}
+    assert not unneeded, "no longer over the limit: remove the entry"
