--- a/lupintack/lab/budget_level_check.py
+++ b/lupintack/lab/budget_level_check.py
@@ -1,9 +1,9 @@
 """A breadth-first search over all interleavings of budgets of two levels.
 
-One region has two successive allocators and two routers; the fleet has two successive allocators. Another
-region is a holder at the fleet's level alone. The protocol's own classes are searched. That two tenures of
-one level never overlap is checked by `budget_check`: here a tenure ends when the next one begins, while its
-late messages are still under way. Time goes on to the next deadline, or past the last.
+One region has two successive allocators and two routers; the fleet has two successive allocators. The other
+region is only a lease holder at the fleet's level. The search runs the protocol's own classes.
+`budget_check` checks that two tenures of one level never overlap: here a tenure ends when the next one
+begins, while its late messages are still in flight. Time advances to the next deadline or past the last.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelBounds:
-    """Bounds of each action on one path."""
+    """Limits of the search: depth, states, and how often each action may occur on one path."""
 
     max_depth: int = 7
     max_requests: int = 3  # of a router or of the other region
@@ -74,7 +74,7 @@
 
 
 def succeed_fleet_allocator(state: LevelState) -> None:
-    """Begin the next tenure at the fleet: the one before is over."""
+    """End the current tenure of the fleet's allocator and begin the next."""
     name = FLEET_ALLOCATORS[len(state.fleet)]
     now = state.local_us(state.rates.fleet)
     allocator = Allocator(Epoch(len(state.fleet) + 1, name, 1), (FLEET_TOTAL_UNITS,), TERMS, now)
@@ -83,14 +83,14 @@
 
 
 def succeed_region_allocator(state: LevelState) -> None:
-    """Begin the next tenure in the region: the one before is over."""
+    """End the current tenure of the region's allocator and begin the next."""
     now = state.local_us(state.rates.region)
     if state.nodes:
-        before = state.node.region.election
-        assert before is not None
-        ended = copy(before)
-        ended.until_us = now
-        state.node.region.election = ended
+        previous_election = state.node.region.election
+        assert previous_election is not None
+        ended_election = copy(previous_election)
+        ended_election.until_us = now
+        state.node.region.election = ended_election
     name = REGION_ALLOCATORS[len(state.nodes)]
     node = TwoLevelNode(name, 1, FLEET_ALLOCATORS, PLAN, TERMS, Random(1), now)
     election = Election(Epoch(len(state.nodes) + 1, name, 1), REGION_ALLOCATORS, TERMS)
@@ -102,15 +102,15 @@
     node._connect_levels(now)
 
 
-def call_node(node: TwoLevelNode, now: int, what: Callable[[], None]) -> None:
-    """Call a region's allocator as TwoLevelNode does."""
+def call_node(node: TwoLevelNode, now: int, call: Callable[[], None]) -> None:
+    """Call a region's allocator and connect its levels before and after, as TwoLevelNode does."""
     node._connect_levels(now)
-    what()
+    call()
     node._connect_levels(now)
 
 
 def deliver(state: LevelState, envelope: Envelope) -> None:
-    """Deliver a message."""
+    """Deliver a message; an allocator ignores requests after the end of its tenure."""
     to, sender, message = envelope
     if to in state.fleet:
         if state.fleet[to] is state.allocator and isinstance(message, LeaseRequest):
@@ -170,10 +170,10 @@
 def request_lease(state: LevelState, name: str) -> None:
     """Request a lease: a router from its region's allocator, the other region from the fleet's."""
     state.requests += 1
-    to = state.allocator.epoch if name == OTHER else state.node.tenure
-    assert to is not None
-    request = state.holders[name].request(to, (DEMAND,), state.local_us(state.rates.holders), in_use=(0,))
-    state.envelopes.append(Envelope(to.name, name, request))
+    epoch = state.allocator.epoch if name == OTHER else state.node.tenure
+    assert epoch is not None
+    request = state.holders[name].request(epoch, (DEMAND,), state.local_us(state.rates.holders), in_use=(0,))
+    state.envelopes.append(Envelope(epoch.name, name, request))
 
 
 def request_parent_lease(state: LevelState, node: TwoLevelNode, now: int) -> None:
@@ -184,7 +184,7 @@
 
 
 def possible_steps(state: LevelState, bounds: LevelBounds) -> Iterator[Step]:
-    """Yield all that can happen next."""
+    """Yield every step that is possible next."""
     for envelope in state.envelopes:
         yield Step("deliver", envelope=envelope)
         if state.duplicates < bounds.max_duplicates:
@@ -199,15 +199,15 @@
         yield Step("follow fleet")
     if len(state.nodes) <= bounds.max_region_successions:
         yield Step("follow region")
-    after = [at for at in deadlines(state) if at > state.now]
-    if after:
-        yield Step("time", at_us=min(after))
-    if len(after) > 1:
-        yield Step("time", at_us=max(after))
+    later = [time for time in deadlines(state) if time > state.now]
+    if later:
+        yield Step("time", at_us=min(later))
+    if len(later) > 1:
+        yield Step("time", at_us=max(later))
 
 
 def deadlines(state: LevelState) -> Iterator[int]:
-    """Yield the true times at which something expires: nothing differs between two of them."""
+    """Yield the true times at which something expires; between two of them no behaviour changes."""
     rates = state.rates
     near_end = TERMS.request_interval_us * 5 // 4
     for holder in state.holders.values():
@@ -216,70 +216,72 @@
         times = [node.fleet.holder.until_us, node.fleet.holder.until_us - near_end]
         if node.region.allocator is not None:
             times += allocator_times(node.region.allocator)
-        yield from (-(-at * MILLION // rates.region) for at in times)
+        yield from (-(-local_us * MILLION // rates.region) for local_us in times)
     for allocator in state.fleet.values():
-        yield from (-(-at * MILLION // rates.fleet) for at in allocator_times(allocator))
+        yield from (-(-local_us * MILLION // rates.fleet) for local_us in allocator_times(allocator))
 
 
 def allocator_times(allocator: Allocator) -> list[int]:
-    """Return when entries of an allocator expire on its clock."""
-    return [allocator.ready_us, *(one.until_us for one in allocator.ledger.values())]
+    """Return when an allocator becomes ready and its ledger entries expire, on its own clock."""
+    return [allocator.ready_us, *(entry.until_us for entry in allocator.ledger.values())]
 
 
 Path = tuple["Path | None", Step]
 
 
 def search(bounds: LevelBounds, rates: Rates) -> SearchResult:
-    """Search breadth first from the initial state, for one setting of the clocks."""
-    found, began = SearchResult(rates=tuple(rates)), monotonic()
-    first = initial_state(rates)
-    seen = {first.key()}
-    level: list[tuple[LevelState, Path | None]] = [(first, None)]
+    """Search breadth-first from the initial state, with one combination of clock rates."""
+    result, started_s = SearchResult(rates=tuple(rates)), monotonic()
+    initial = initial_state(rates)
+    visited = {initial.key()}
+    frontier: list[tuple[LevelState, Path | None]] = [(initial, None)]
     for depth in range(1, bounds.max_depth + 1):
-        coming: list[tuple[LevelState, Path | None]] = []
-        for old, way in level:
-            for step in possible_steps(old, bounds):
-                state = old.fork()
+        next_frontier: list[tuple[LevelState, Path | None]] = []
+        for previous, path in frontier:
+            for step in possible_steps(previous, bounds):
+                state = previous.fork()
                 apply_step(state, step)
                 key = state.key()
-                if key in seen:
+                if key in visited:
                     continue
-                seen.add(key)
-                path: Path = (way, step)
-                coming.append((state, path))
-                broken = state.violations()
-                if broken or len(seen) >= bounds.max_states:
-                    found.script = [*script(path), str(broken[0])] if broken else []
-                    found.is_complete = bool(broken)
-                    found.states, found.depth, found.seconds = len(seen), depth, monotonic() - began
-                    return found
-        found.depth = depth
-        level = coming
-    found.states, found.seconds = len(seen), monotonic() - began
-    return found
-
-
-def script(way: Path | None) -> list[str]:
-    """Return the path to a state, one step a line."""
-    found = []
-    while way is not None:
-        way, step = way
-        found.append(str(step))
-    return found[::-1]
+                visited.add(key)
+                next_path: Path = (path, step)
+                next_frontier.append((state, next_path))
+                violations = state.violations()
+                if violations or len(visited) >= bounds.max_states:
+                    result.script = [*script(next_path), str(violations[0])] if violations else []
+                    result.is_complete = bool(violations)
+                    result.states, result.depth, result.seconds = len(visited), depth, monotonic() - started_s
+                    return result
+        result.depth = depth
+        frontier = next_frontier
+    result.states, result.seconds = len(visited), monotonic() - started_s
+    return result
+
+
+def script(path: Path | None) -> list[str]:
+    """Return the path to a state, one step per line."""
+    lines = []
+    while path is not None:
+        path, step = path
+        lines.append(str(step))
+    return lines[::-1]
 
 
 def replay(steps: Sequence[Step], rates: Rates) -> list[list[Violation]]:
-    """Return the violations after each step; `deliver` with a name takes the first message to that one."""
-    state, found = initial_state(rates), []
+    """Return the violations after each step; `deliver` with a name takes its first message."""
+    state, violations = initial_state(rates), []
     for step in steps:
         if step.kind in ("deliver", "double") and step.envelope is None:
-            step = step._replace(envelope=next(one for one in state.envelopes if one.to == step.name))
+            step = step._replace(
+                envelope=next(envelope for envelope in state.envelopes if envelope.to == step.name)
+            )
         apply_step(state, step)
-        found.append(state.violations())
-    return found
+        violations.append(state.violations())
+    return violations
 
 
 def clock_rates() -> list[Rates]:
-    """Return all settings of the three clocks, each at either end of the drift."""
+    """Return all combinations of the three clocks' rates, each at either end of the drift."""
     slow, fast = MILLION - TERMS.drift_ppm, MILLION + TERMS.drift_ppm
     return [Rates(*rates) for rates in product((slow, fast), repeat=3)]
--- a/lupintack/lab/charts.py
+++ b/lupintack/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts of the lab, by matplotlib (extra `lab`), with the data beside them as CSV."""
+"""Charts of the lab, drawn by matplotlib (extra `lab`), each with its data in a CSV file of the same name."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def create_figure() -> Any:
-    """Return a figure and its axes, without a display."""
+    """Return a figure and its axes, for a backend without a display."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -20,30 +20,30 @@
     return pyplot.subplots(figsize=(7.5, 4.2), dpi=110)
 
 
-def plot_detection_times(path: Path, found: Sequence[Result]) -> None:
-    """Plot the time from a crash to its detection, over all observers."""
-    seconds = sorted(us / 1e6 for one in found for us in one.detect_us)
-    drawn, axes = create_figure()
-    axes.plot(seconds, [(n + 1) / len(seconds) for n in range(len(seconds))], linewidth=1.5)
-    axes.set_xlabel("crash to told, s")
+def plot_detection_times(path: Path, results: Sequence[Result]) -> None:
+    """Plot the distribution of the time from a crash to its detection, over all observers."""
+    seconds = sorted(us / 1e6 for result in results for us in result.detect_us)
+    figure, axes = create_figure()
+    axes.plot(seconds, [(index + 1) / len(seconds) for index in range(len(seconds))], linewidth=1.5)
+    axes.set_xlabel("time from crash to detection, s")
     axes.set_ylabel("share of observers")
     axes.set_title(
-        f"{len(found)} runs of {found[0].routers} routers, seeds {found[0].seed} to {found[-1].seed}"
+        f"{len(results)} runs of {results[0].routers} routers, seeds {results[0].seed} to {results[-1].seed}"
     )
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path)
+    figure.tight_layout()
+    figure.savefig(path)
     with path.with_suffix(".csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["seed", "crash_to_told_s"])
-        writer.writerows([one.seed, us / 1e6] for one in found for us in one.detect_us)
+        writer.writerows([result.seed, us / 1e6] for result in results for us in result.detect_us)
 
 
 def plot_lines(
     path: Path, series: dict[str, list[tuple[float, float, float, float]]], x: str, y: str, title: str
 ) -> None:
-    """Plot lines with intervals: for each series points (x, y, low, high)."""
-    drawn, axes = create_figure()
+    """Plot lines with error bars; each series has points (x, y, low, high)."""
+    figure, axes = create_figure()
     for name, points in series.items():
         axes.errorbar(
             [p[0] for p in points],
@@ -59,8 +59,8 @@
     axes.set_title(title)
     axes.legend()
     axes.grid(alpha=0.3)
-    drawn.tight_layout()
-    drawn.savefig(path)
+    figure.tight_layout()
+    figure.savefig(path)
     with path.with_suffix(".csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["series", x, y, "low", "high"])
