--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -21,7 +21,7 @@
 
 import click
 
-from lupintack.cli.lab import MAKERS, OFF
+from lupintack.cli.lab import CONFIG_WITHOUT, MEMBERSHIP_FACTORIES
 from lupintack.lab.charts import plot_lines
 from lupintack.lab.faults import Fault
 from lupintack.lab.members import World
@@ -55,9 +55,11 @@
     other, off, kind, size, seed, routers = run
     terms = MembershipConfig()
     for name in off:
-        terms = replace(terms, **OFF[name])
+        terms = replace(terms, **CONFIG_WITHOUT[name])
     began = process_time()
-    result = World(seed, routers, terms, script=faults(kind, size, seed, routers), create=MAKERS[other]).run()
+    result = World(
+        seed, routers, terms, script=faults(kind, size, seed, routers), create=MEMBERSHIP_FACTORIES[other]
+    ).run()
     return run, result, process_time() - began
 
 
@@ -106,8 +108,8 @@
 def main(out: Path, routers: int, seeds: int, jobs: int, sizes: str) -> None:
     """Play all, and draw."""
     out.mkdir(parents=True, exist_ok=True)
-    ways = [(name, name, ()) for name in MAKERS] + [
-        (f"without {name}", "membership", (name,)) for name in OFF
+    ways = [(name, name, ()) for name in MEMBERSHIP_FACTORIES] + [
+        (f"without {name}", "membership", (name,)) for name in CONFIG_WITHOUT
     ]
     grid = {"loss": (0.0, 0.1, 0.2, 0.3), "pause": (0.0, 3.0, 5.0, 7.0)}
     runs: dict[Run, str] = {}
@@ -126,7 +128,7 @@
     points = [point(*key, value) for key, value in found.items()]
     for one in points:
         click.echo(json.dumps(one))
-    groups = {"beside": tuple(MAKERS), "parts": ("membership", *(way[0] for way in ways[3:]))}
+    groups = {"beside": tuple(MEMBERSHIP_FACTORIES), "parts": ("membership", *(way[0] for way in ways[3:]))}
     words = {"loss": "share of datagrams lost", "pause": "length of pauses of one in five, s"}
     for kind, x in words.items():
         for field, y in FIELDS.items():
--- a/lupintack/cli/__init__.py
+++ b/lupintack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/lupintack/cli/check.py
+++ b/lupintack/cli/check.py
@@ -1,4 +1,4 @@
-"""Reads a configuration file in full, whether what it says is on or off."""
+"""Validates a configuration file in full, including the features that it leaves off."""
 
 from __future__ import annotations
 
@@ -12,30 +12,33 @@
 
 
 def kind_of(file: Path) -> str:
-    """What a file is, by its name: *.json the platform's, cdni* the CDNI front's, else the operator's."""
+    """Return a file's kind by its name: *.json is platform, cdni* is cdni, anything else is operator."""
     if file.suffix == ".json":
         return "platform"
     return "cdni" if file.name.startswith("cdni") else "operator"
 
 
 def check(file: Path, kind: str) -> list[str]:
-    """What the file switches on; ConfigError for one that can't be used."""
+    """Return the features that the file enables; raise ConfigError if it can't be used."""
     if kind == "platform":
         from lupintack import config
 
-        found = config.load({"EDGE_CONFIG": str(file)})
-        return ["platform"] + ["second address"] * (found.admin is not None)
+        configuration = config.load({"EDGE_CONFIG": str(file)})
+        return ["platform"] + ["second address"] * (configuration.admin is not None)
     data = files.read_toml(file)
     if data is None:
         raise ConfigError(f"{file}: no such file")
     if kind == "operator":
-        told = operator.parse(data, file.name)
-        return [name for name in told.__struct_fields__ if getattr(told, name).enabled]
+        operator_config = operator.parse(data, file.name)
+        return [name for name in operator_config.__struct_fields__ if getattr(operator_config, name).enabled]
     return ["cdni"] if cdni.parse(data, file.name, named_classes(data)).enabled else []
 
 
 def named_classes(data: dict[str, Any]) -> tuple[str, ...]:
-    """The classes that a CDNI file names: which of them a deployment has, only its configuration tells."""
+    """Return the classes that a CDNI file names.
+
+    Which of them a deployment has is only in its own configuration, which isn't read here.
+    """
     hosts = data.get("host", [])
-    places = [one for host in hosts if isinstance(host, dict) for one in host.get("path", [])]
-    return tuple({str(one.get("class", "")) for one in places if isinstance(one, dict)})
+    paths = [path for host in hosts if isinstance(host, dict) for path in host.get("path", [])]
+    return tuple({str(path.get("class", "")) for path in paths if isinstance(path, dict)})
--- a/lupintack/cli/demo.py
+++ b/lupintack/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one edge router as a process of its own, between stand-ins in this one, all on loopback."""
+"""The demo: an edge router in a child process, with stand-ins in this process, all on loopback."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 
 
 class Router:
-    """A router process before a fleet of stand-ins; RuntimeError where it does not come up."""
+    """A router process in front of a fleet of stand-ins; raises RuntimeError if it does not start."""
 
-    def __init__(self, fleet: Fleet, operator: str = "", **configuration: Any) -> None:
-        """`operator` is the text of its operator file, in which {http2} stands for the port."""
+    def __init__(self, fleet: Fleet, operator: str = "", **settings: Any) -> None:
+        """Start the process. `operator` is its operator file, with {http2} replaced by the HTTP/2 address."""
         self.folder = tempfile.TemporaryDirectory()
-        one, two, three = free_ports(3)
-        self.http1, self.http2 = ("127.0.0.1", one), ("127.0.0.1", two)
-        self.admin = ("127.0.0.1", three)
+        http1_port, http2_port, admin_port = free_ports(3)
+        self.http1, self.http2 = ("127.0.0.1", http1_port), ("127.0.0.1", http2_port)
+        self.admin = ("127.0.0.1", admin_port)
         base = Path(self.folder.name)
-        told = fleet.configuration(f"127.0.0.1:{one}", **configuration)
-        told["admin_addr"] = f"127.0.0.1:{three}"
-        (base / "config.json").write_text(json.dumps(told))
-        (base / "operator.toml").write_text(operator.replace("{http2}", f"127.0.0.1:{two}"))
+        configuration = fleet.configuration(f"127.0.0.1:{http1_port}", **settings)
+        configuration["admin_addr"] = f"127.0.0.1:{admin_port}"
+        (base / "config.json").write_text(json.dumps(configuration))
+        (base / "operator.toml").write_text(operator.replace("{http2}", f"127.0.0.1:{http2_port}"))
         self.log = (base / "log").open("w+")
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("EDGE_", "LUPINTACK_"))}
         environ |= {
             "EDGE_CONFIG": str(base / "config.json"),
             "LUPINTACK_OPERATOR": str(base / "operator.toml"),
-            "TMPDIR": str(base),  # where its bans are kept
+            "TMPDIR": str(base),  # the router stores its bans there
         }
         environ["PYTHONPATH"] = str(Path(__file__).parents[2])
-        words = [sys.executable, "-m", "lupintack"]
-        self.process = subprocess.Popen(words, env=environ, stdout=self.log, stderr=self.log)
+        command = [sys.executable, "-m", "lupintack"]
+        self.process = subprocess.Popen(command, env=environ, stdout=self.log, stderr=self.log)
         try:
             self.await_ready()
         except RuntimeError:
@@ -57,9 +57,9 @@
             raise
 
     def await_ready(self) -> None:
-        """Wait until it says that it is ready; RuntimeError where it does not in time."""
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until:
+        """Wait until `/alive` answers 200; raise RuntimeError if the process ends or READY_S passes first."""
+        deadline = time.monotonic() + READY_S
+        while time.monotonic() < deadline:
             if self.process.poll() is not None:
                 break
             try:
@@ -73,12 +73,12 @@
         raise RuntimeError(f"the router did not come up: {self.lines()[-1:] or 'it said nothing'}")
 
     def lines(self) -> list[str]:
-        """What it has logged."""
+        """Return the lines that the router has logged."""
         self.log.flush()
         return Path(self.log.name).read_text().splitlines()
 
     def close(self) -> None:
-        """End it, and wait until it has."""
+        """Terminate the router and wait for its end; kill it if it takes more than 8 s."""
         if self.process.poll() is None:
             self.process.terminate()
             try:
@@ -91,10 +91,10 @@
 
 
 class Demo:
-    """The whole of it, as a context."""
+    """A router with its stand-ins, as a context manager."""
 
     def __init__(self) -> None:
-        """Start the stand-ins and the router; RuntimeError where it does not come up."""
+        """Start the stand-ins and the router; raise RuntimeError if the router does not start."""
         self.fleet = Fleet()
         try:
             self.router = Router(self.fleet, '[http2]\nenabled = true\nlisten = "{http2}"\n')
@@ -109,12 +109,12 @@
     def __exit__(
         self, kind: type[BaseException] | None, value: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End the router and the stand-ins."""
+        """Stop the router and the stand-ins."""
         self.router.close()
         self.fleet.close()
 
     def endpoints(self) -> dict[str, Any]:
-        """Where to ask, and with what."""
+        """Return the addresses, and the path and headers of a sample request."""
         return {
             "http1": "{}:{}".format(*self.router.http1),
             "http2": "{}:{}".format(*self.router.http2),
@@ -124,7 +124,7 @@
         }
 
     def page(self) -> str:
-        """The same for a reader."""
+        """Return the endpoints as commands to paste into a shell."""
         endpoints = self.endpoints()
         headers = " ".join(f"-H '{name}: {value}'" for name, value in endpoints["headers"].items())
         return "\n".join([
@@ -138,39 +138,39 @@
         ])  # fmt: skip
 
     def wait(self) -> None:
-        """Until Ctrl-C, SIGTERM, or the router's end (RuntimeError)."""
-        over = threading.Event()
+        """Wait for Ctrl-C or SIGTERM; raise RuntimeError if the router ends first."""
+        stopped = threading.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
-            signal.signal(number, lambda *_: over.set())
-        while not over.wait(0.2):
+            signal.signal(number, lambda *_: stopped.set())
+        while not stopped.wait(0.2):
             if self.router.process.poll() is not None:
                 raise RuntimeError(f"the router has ended: {self.router.lines()[-1:]}")
 
     def check(self, progress: bool = False) -> dict[str, Any]:
-        """ASKED objects over each protocol: what came, and whether all of it was right."""
-        out: dict[str, Any] = {"ok": True}
-        for name, where in (("http1", self.router.http1), ("http2", self.router.http2)):
+        """Fetch OBJECT_COUNT objects over each protocol; return the counts and whether all were served."""
+        report: dict[str, Any] = {"ok": True}
+        for name, address in (("http1", self.router.http1), ("http2", self.router.http2)):
             if progress:
                 print(f"{name}: {OBJECT_COUNT} objects", file=sys.stderr)
-            out[name] = one = fetch_objects(where, name == "http2")
-            out["ok"] = out["ok"] and one["served"] == OBJECT_COUNT
-        return out
+            report[name] = counts = fetch_objects(address, name == "http2")
+            report["ok"] = report["ok"] and counts["served"] == OBJECT_COUNT
+        return report
 
 
-def fetch_objects(where: tuple[str, int], http2: bool) -> dict[str, Any]:
-    """ASKED objects from one address, ten at a time."""
+def fetch_objects(address: tuple[str, int], http2: bool) -> dict[str, Any]:
+    """Begin OBJECT_COUNT calls to one address together; return the counts and the median duration."""
     counts = {"asked": OBJECT_COUNT, "served": 0, "refused": 0, "failed": 0, "wrong": 0}
-    took: list[float] = []
-    with Client(where, http2=http2) as client:
+    durations_ms: list[float] = []
+    with Client(address, http2=http2) as client:
         calls = [client.begin(CLS, f"{n:016x}", wait_ms=WAIT_MS) for n in range(OBJECT_COUNT)]
         for n, call in enumerate(calls):
             result = call.result()
-            took.append(result.took_us / 1000.0)
+            durations_ms.append(result.took_us / 1000.0)
             if isinstance(result, Served):
-                right = bytes(result.body) == content(f"{n:016x}", "0", SIZES[CLS])
-                counts["served" if right else "wrong"] += 1
+                is_correct = bytes(result.body) == content(f"{n:016x}", "0", SIZES[CLS])
+                counts["served" if is_correct else "wrong"] += 1
             elif isinstance(result, Refused):
                 counts["refused"] += 1
             else:
                 counts["failed" if isinstance(result, Failed) else "wrong"] += 1
-    return {**counts, "median_ms": round(statistics.median(took), 2)}
+    return {**counts, "median_ms": round(statistics.median(durations_ms), 2)}
--- a/lupintack/cli/lab.py
+++ b/lupintack/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lupintack lab`: runs over seeds in several processes, and their figures on one line."""
+"""`lupintack lab`: runs simulations over seeds in several processes and summarizes their results."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 Run = TypeVar("Run")
 Seed = TypeVar("Seed")
-MAKERS: dict[str, MembershipFactory] = {
+MEMBERSHIP_FACTORIES: dict[str, MembershipFactory] = {
     "membership": create_membership,
     "swim": swim,
     "heartbeats": heartbeats,
 }
-OFF: dict[str, dict[str, Any]] = {
+CONFIG_WITHOUT: dict[str, dict[str, Any]] = {
     "health": {"max_health_score": 0, "listen_after_pause_us": 0, "pause_threshold_us": 1 << 60},
     "watchers": {"ring_count": 1},
     "confirmation": {"max_failure_timeout_us": MembershipConfig().failure_timeout_us, "quorum_share": 0.0},
@@ -47,18 +47,18 @@
 
 
 class LabError(ValueError):
-    """What was asked for can't be played."""
+    """The arguments of a lab command can't be used."""
 
 
-def seeds_of(text: str) -> range:
-    """A-B, both ends played."""
+def parse_seeds(text: str) -> range:
+    """Return the seeds of A-B, both ends included; raise LabError for any other text."""
     first, _, last = text.partition("-")
     if not (first.isdigit() and (last or first).isdigit()) or int(last or first) < int(first):
-        raise LabError(f"--seeds: A-B is wanted, not {text!r}")
+        raise LabError(f"--seeds: expected A-B, not {text!r}")
     return range(int(first), int(last or first) + 1)
 
 
-def one(
+def run_seed(
     seed: int,
     routers: int,
     kinds: Sequence[str],
@@ -66,14 +66,14 @@
     other: str,
     off: Sequence[str],
 ) -> Result:
-    """One run; a function of its own, so that another process can be given it."""
+    """Run one seed. A module-level function, so that it can be pickled for a worker process."""
     terms = MembershipConfig()
     for name in off:
-        terms = replace(terms, **OFF[name])
-    return World(seed, routers, terms, kinds, script, MAKERS[other]).run()
+        terms = replace(terms, **CONFIG_WITHOUT[name])
+    return World(seed, routers, terms, kinds, script, MEMBERSHIP_FACTORIES[other]).run()
 
 
-def members(
+def run_memberships(
     routers: int,
     seeds: str,
     jobs: int,
@@ -84,133 +84,146 @@
     trace: Callable[[str], None] | None,
     plot: Path | None,
 ) -> dict[str, Any]:
-    """The figures of all runs."""
+    """Run memberships over the seeds; return their summary. Raise LabError for unusable arguments."""
     kinds = tuple(name for name in faults.split(",") if name) or tuple(FAULT_KINDS)
-    wrong = [name for name in kinds if name not in FAULT_KINDS] + [name for name in off if name not in OFF]
-    if wrong or other not in MAKERS:
-        known = ", ".join((*FAULT_KINDS, *OFF, *MAKERS))
-        raise LabError(f"{(wrong or [other])[0]!r} is not known; wanted is one of {known}")
+    unknown = [name for name in kinds if name not in FAULT_KINDS] + [
+        name for name in off if name not in CONFIG_WITHOUT
+    ]
+    if unknown or other not in MEMBERSHIP_FACTORIES:
+        known = ", ".join((*FAULT_KINDS, *CONFIG_WITHOUT, *MEMBERSHIP_FACTORIES))
+        raise LabError(f"{(unknown or [other])[0]!r} is not known; expected one of {known}")
     try:
-        told = read_script(script) if script is not None else None
+        faults_in_script = read_script(script) if script is not None else None
     except ScriptError as error:
         raise LabError(str(error)) from None
-    numbers = seeds_of(seeds)
+    seed_range = parse_seeds(seeds)
     if trace is not None:
-        found = [World(n, routers, None, kinds, told, MAKERS[other], trace=trace).run() for n in numbers]
+        results = [
+            World(
+                number, routers, None, kinds, faults_in_script, MEMBERSHIP_FACTORIES[other], trace=trace
+            ).run()
+            for number in seed_range
+        ]
     else:
-        play = partial(one, routers=routers, kinds=kinds, script=told, other=other, off=off)
-        found = spread(play, numbers, jobs)
+        run = partial(run_seed, routers=routers, kinds=kinds, script=faults_in_script, other=other, off=off)
+        results = run_in_processes(run, seed_range, jobs)
     if plot is not None:
         from lupintack.lab.charts import plot_detection_times
 
-        plot_detection_times(plot, found)
-    return figures(routers, found)
+        plot_detection_times(plot, results)
+    return summarize_members(routers, results)
 
 
-def spread(play: Callable[[Seed], Run], numbers: Sequence[Seed], jobs: int) -> list[Run]:
-    """All runs, in the order of their seeds; progress on a terminal."""
+def run_in_processes(run: Callable[[Seed], Run], seeds: Sequence[Seed], jobs: int) -> list[Run]:
+    """Return the results of all runs in the order of the seeds; show the progress on a terminal."""
     if jobs == 1:
-        return [play(number) for number in numbers]
-    found = []
+        return [run(number) for number in seeds]
+    results = []
     with ProcessPoolExecutor(jobs) as pool:
-        for count, result in enumerate(pool.map(play, numbers, chunksize=1), 1):
-            found.append(result)
+        for count, result in enumerate(pool.map(run, seeds, chunksize=1), 1):
+            results.append(result)
             if sys.stderr.isatty():
-                print(f"\r{count} of {len(numbers)}", end="", file=sys.stderr)
-    return found
+                print(f"\r{count} of {len(seeds)}", end="", file=sys.stderr)
+    return results
 
 
-def figures(routers: int, found: Sequence[Result]) -> dict[str, Any]:
-    """One line's worth."""
-    detect = sorted(us for one in found for us in one.detect_us)
-    agree = [one.agree_us for one in found if one.agree_us >= 0]
-    digest = hashlib.blake2b("".join(one.hash for one in found).encode(), digest_size=8).hexdigest()
+def summarize_members(routers: int, results: Sequence[Result]) -> dict[str, Any]:
+    """Return the summary of all runs, as it is printed on one line."""
+    detect = sorted(us for result in results for us in result.detect_us)
+    agree = [result.agree_us for result in results if result.agree_us >= 0]
+    digest = hashlib.blake2b("".join(result.hash for result in results).encode(), digest_size=8).hexdigest()
     return {
-        "runs": len(found),
+        "runs": len(results),
         "routers": routers,
-        "false_removals": sum(one.false_removals for one in found),
-        "false_seeds": [one.seed for one in found if one.false_removals][:20],
-        "missed": sum(one.missed for one in found),
-        "disagree": sum(one.surplus_views > 0 for one in found),
-        "disagree_seeds": [one.seed for one in found if one.surplus_views][:20],
-        "broken": [f"{one.seed}: {one.broken_invariant}" for one in found if one.broken_invariant][:5],
+        "false_removals": sum(result.false_removals for result in results),
+        "false_seeds": [result.seed for result in results if result.false_removals][:20],
+        "missed": sum(result.missed for result in results),
+        "disagree": sum(result.surplus_views > 0 for result in results),
+        "disagree_seeds": [result.seed for result in results if result.surplus_views][:20],
+        "broken": [
+            f"{result.seed}: {result.broken_invariant}" for result in results if result.broken_invariant
+        ][:5],
         "detect_p50_s": round(median(detect) / 1e6, 2) if detect else None,
         "detect_max_s": round(detect[-1] / 1e6, 2) if detect else None,
         "agree_max_s": round(max(agree) / 1e6, 2) if agree else None,
-        "bytes_per_s": round(sum(one.bytes_per_s for one in found) / max(1, len(found))),
-        "changes_max": max((one.changes for one in found), default=0),
+        "bytes_per_s": round(sum(result.bytes_per_s for result in results) / max(1, len(results))),
+        "changes_max": max((result.changes for result in results), default=0),
         "hash": digest,
     }
 
 
-def budgets(routers: int, seeds: str, jobs: int, regions: int = 0, levels: int = 2) -> dict[str, Any]:
-    """The figures of all runs of fleets with budgets; `regions` 0: a fleet without them."""
+def run_budgets(routers: int, seeds: str, jobs: int, regions: int = 0, levels: int = 2) -> dict[str, Any]:
+    """Run fleets with budgets over the seeds; return their summary. `regions` 0: a fleet without regions."""
     if not regions:
-        return budget_results.summarize(spread(partial(budget_run, routers=routers), seeds_of(seeds), jobs))
+        return budget_results.summarize(
+            run_in_processes(partial(run_budget_seed, routers=routers), parse_seeds(seeds), jobs)
+        )
     if regions * budget_levels.REGION_VOTERS > routers:
         raise LabError(
-            f"--regions {regions}: each has {budget_levels.REGION_VOTERS} voters; more routers are wanted"
+            f"--regions {regions}: each has {budget_levels.REGION_VOTERS} voters; more routers are needed"
         )
-    play = partial(budget_levels.play, regions=regions, routers=routers, levels=levels)
-    return budget_levels.summarize_levels(spread(play, seeds_of(seeds), jobs))
+    run = partial(budget_levels.play, regions=regions, routers=routers, levels=levels)
+    return budget_levels.summarize_levels(run_in_processes(run, parse_seeds(seeds), jobs))
 
 
-def budget_run(seed: int, routers: int) -> budget_results.Result:
-    """One run; a function of its own, so that another process can be given it."""
+def run_budget_seed(seed: int, routers: int) -> budget_results.Result:
+    """Run one seed. A module-level function, so that it can be pickled for a worker process."""
     return budget_worlds.World(seed, routers).run()
 
 
-def check(depth: int, states: int, jobs: int, levels: int = 1) -> dict[str, Any]:
-    """A search of one level or of two with each setting of the three clocks."""
+def check_budgets(depth: int, states: int, jobs: int, levels: int = 1) -> dict[str, Any]:
+    """Search all states of one or two allocation levels, once for each set of rates of the three clocks."""
     if levels == 2:
         level_bounds = level_searches.LevelBounds(max_depth=depth, max_states=states)
-        found = spread(partial(level_searches.search, level_bounds), level_searches.clock_rates(), jobs)
+        results = run_in_processes(
+            partial(level_searches.search, level_bounds), level_searches.clock_rates(), jobs
+        )
     else:
-        play = partial(search, searches.Bounds(max_depth=depth, max_states=states))
-        found = spread(play, searches.clock_rates(), jobs)
-    broken = next((one for one in found if one.script), None)
+        run = partial(search_budgets, searches.Bounds(max_depth=depth, max_states=states))
+        results = run_in_processes(run, searches.clock_rates(), jobs)
+    broken = next((result for result in results if result.script), None)
     return {
         "oversum": broken is not None,
-        "clocks": len(found),
-        "states": sum(one.states for one in found),
-        "depth": min(one.depth for one in found),
-        "whole": all(one.is_complete for one in found),
-        "seconds": round(sum(one.seconds for one in found), 1),
+        "clocks": len(results),
+        "states": sum(result.states for result in results),
+        "depth": min(result.depth for result in results),
+        "whole": all(result.is_complete for result in results),
+        "seconds": round(sum(result.seconds for result in results), 1),
         "script": broken.script if broken is not None else [],
         "rates": list(broken.rates) if broken is not None else [],
     }
 
 
-def search(bounds: searches.Bounds, rates: tuple[int, ...]) -> searches.SearchResult:
-    """Search the states of budgets within bounds, at these rates of the clocks."""
+def search_budgets(bounds: searches.Bounds, rates: tuple[int, ...]) -> searches.SearchResult:
+    """Search the states of budgets within bounds at the given clock rates."""
     return searches.search(bounds, rates)
 
 
-def planted() -> dict[str, str]:
-    """Return all planted bugs' names and descriptions."""
+def describe_planted_bugs() -> dict[str, str]:
+    """Return the names and descriptions of all bugs that can be planted."""
     budget_bugs = {**PLANTED_BUGS, **PLANTED_LEVEL_BUGS}
     descriptions = {name: bug.description for name, bug in budget_bugs.items()}
     return {name: bug.description for name, bug in PLANTED_MEMBERSHIP_BUGS.items()} | descriptions
 
 
-def plant(name: str, seeds: int) -> dict[str, Any]:
-    """Where a planted bug is caught."""
+def catch_planted_bug(name: str, seeds: int) -> dict[str, Any]:
+    """Return how a planted bug is caught: the seed or script, and the failing check."""
     if name in PLANTED_BUGS:
         script, rates = find_by_search(name)
-        at = find_by_seeds(name, seeds)
-        return {"name": name, "caught_at": at, "by": script, "rates": list(rates), "seeds": seeds}
+        seed = find_by_seeds(name, seeds)
+        return {"name": name, "caught_at": seed, "by": script, "rates": list(rates), "seeds": seeds}
     if name in PLANTED_LEVEL_BUGS:
-        return plant_in_levels(name, seeds)
+        return catch_planted_level_bug(name, seeds)
     if name not in PLANTED_MEMBERSHIP_BUGS:
-        raise LabError(f"no bug {name!r}; wanted is one of {', '.join(planted())}")
+        raise LabError(f"no bug {name!r}; expected one of {', '.join(describe_planted_bugs())}")
     seed, by = find_seed(name, seeds)
     return {"name": name, "caught_at": seed, "by": by, "seeds": seeds}
 
 
-def plant_in_levels(name: str, seeds: int) -> dict[str, Any]:
-    """Where a bug in budgets of two levels is caught: at a seed, else by its script."""
+def catch_planted_level_bug(name: str, seeds: int) -> dict[str, Any]:
+    """Return how a planted bug in budgets of two levels is caught: by its script, else at a seed."""
     script, rates = find_level_bug_by_search(name)
-    shown = find_level_bug_by_script(name)
-    at: int | str | None = find_level_bug_by_seeds(name, seeds) if not shown else "script"
-    by = script or [text for text in (shown,) if text]
+    replayed = find_level_bug_by_script(name)
+    at: int | str | None = find_level_bug_by_seeds(name, seeds) if not replayed else "script"
+    by = script or [text for text in (replayed,) if text]
     return {"name": name, "caught_at": at, "by": by, "rates": list(rates or ()), "seeds": seeds}
--- a/lupintack/cli/scale.py
+++ b/lupintack/cli/scale.py
@@ -1,4 +1,4 @@
-"""`lupintack scale`: slopes of single roles, and runs of many hollow routers."""
+"""`lupintack scale`: cost of single roles by fleet size, and runs of many hollow routers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @click.group()
 def scale() -> None:
-    """What the control work of a large fleet costs."""
+    """Measure the cost of the control work of a large fleet."""
 
 
 scale.add_command(slope_command)
--- a/lupintack/cli/scale_run.py
+++ b/lupintack/cli/scale_run.py
@@ -1,4 +1,4 @@
-"""`lupintack scale run`: many hollow routers on loopback through a script of faults and changes."""
+"""`lupintack scale run`: runs many hollow routers on loopback through a script of faults and changes."""
 
 from __future__ import annotations
 
@@ -12,27 +12,43 @@
 import click
 
 
-class Unusable(click.ClickException):
-    """Words, a script or a machine that can't be used for the run."""
+class UnusableRunError(click.ClickException):
+    """The options, the script or the machine can't be used for the run."""
 
     exit_code = 2
 
 
 @click.command("run")
-@click.option("--routers", type=int, required=True, help="How many hollow routers.")
-@click.option("--regions", type=int, default=1, show_default=True, help="Regions that they stand in.")
-@click.option("--zones", type=int, default=1, show_default=True, help="Zones of all regions together.")
-@click.option("--sites", type=int, default=1, show_default=True, help="Sites of all zones together.")
-@click.option("--seconds", type=float, default=30.0, show_default=True, help="Measured once all agree.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of all that is drawn.")
-@click.option("--script", type=click.Path(path_type=Path), help="TOML: faults at their times.")
-@click.option("--processes", type=int, default=0, help="Of hollow routers; 0: what suits the machine.")
-@click.option("--real", type=int, default=0, show_default=True, help="Real routers beside the hollow ones.")
-@click.option("--site-budgets", is_flag=True, help="A budget for each site, beside those of all.")
-@click.option("--two-levels", is_flag=True, help="Each region has an allocator of its own.")
-@click.option("--purges-per-s", type=float, default=25.0, show_default=True, help="Published to all.")
-@click.option("--changes-per-day", type=float, default=11_000.0, show_default=True, help="List and settings.")
-@click.option("--starts-per-s", type=float, default=20.0, show_default=True, help="Of routers, to begin.")
+@click.option("--routers", type=int, required=True, help="Number of hollow routers.")
+@click.option("--regions", type=int, default=1, show_default=True, help="Number of regions.")
+@click.option("--zones", type=int, default=1, show_default=True, help="Zones, over all regions.")
+@click.option("--sites", type=int, default=1, show_default=True, help="Sites, over all zones.")
+@click.option("--seconds", type=float, default=30.0, show_default=True, help="Time measured after all agree.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of all random choices.")
+@click.option("--script", type=click.Path(path_type=Path), help="A TOML script of timed faults.")
+@click.option(
+    "--processes", type=int, default=0, help="Processes of hollow routers; 0: chosen by the machine."
+)
+@click.option(
+    "--real", type=int, default=0, show_default=True, help="Real routers in addition to the hollow ones."
+)
+@click.option("--site-budgets", is_flag=True, help="A budget for each site, besides the shared ones.")
+@click.option("--two-levels", is_flag=True, help="Each region has its own allocator.")
+@click.option("--purges-per-s", type=float, default=25.0, show_default=True, help="Purges published to all.")
+@click.option(
+    "--changes-per-day",
+    type=float,
+    default=11_000.0,
+    show_default=True,
+    help="Changes of the member list and the settings.",
+)
+@click.option(
+    "--starts-per-s",
+    type=float,
+    default=20.0,
+    show_default=True,
+    help="Rate of router starts in the beginning.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The result as one line of JSON.")
 def run_command(
     routers: int,
@@ -53,8 +69,8 @@
 ) -> None:
     """Run hollow routers: the control code of real ones, many in one process, without clients or caches.
 
-    One line is printed at the end. Exit code 0: the run was played, 1: it broke off, or leases passed a
-    whole, 2: it can't be started.
+    Prints one line at the end. Exit code 0: the run is complete, 1: it was broken off, or leases exceeded a
+    budget in sum, 2: it can't be started.
     """
     from lupintack.scale import resources
     from lupintack.scale.coordinator import Coordinator, Options, RunError
@@ -74,7 +90,7 @@
         if script is not None:
             faults = read_script(script, plan_routers(size, range(routers)), seconds)
     except ScaleError as error:
-        raise Unusable(str(error)) from None
+        raise UnusableRunError(str(error)) from None
     options = Options(
         size,
         planned,
@@ -87,16 +103,16 @@
         changes_per_day,
         starts_per_s,
     )
-    signal.signal(signal.SIGTERM, interrupted)
+    signal.signal(signal.SIGTERM, raise_keyboard_interrupt)
     coordinator = Coordinator(options)
     try:
-        found = coordinator.run()
+        result = coordinator.run()
     except (RunError, TimeoutError) as error:
         raise click.ClickException(str(error)) from None
     finally:
         coordinator.close()
-    click.echo(json.dumps(found) if as_json else text_line(found))
-    sys.exit(1 if found["oversum"] > 0 else 0)
+    click.echo(json.dumps(result) if as_json else text_line(result))
+    sys.exit(1 if result["oversum"] > 0 else 0)
 
 
 def check_numbers(
@@ -108,7 +124,7 @@
     changes_per_day: float,
     starts_per_s: float,
 ) -> None:
-    """Raise ScaleError for a number that can't be one."""
+    """Raise ScaleError for a number outside its bounds."""
     from lupintack.scale.hollow_plan import ScaleError
 
     bounds: tuple[tuple[str, float, float, float], ...] = (
@@ -120,22 +136,22 @@
         ("--changes-per-day", changes_per_day, 0, 10_000_000),
         ("--starts-per-s", starts_per_s, 0.1, 10_000),
     )
-    for name, value, least, most in bounds:
-        if not least <= value <= most:
-            raise ScaleError(f"{name}: {least} to {most} is wanted, not {value}")
+    for name, value, minimum, maximum in bounds:
+        if not minimum <= value <= maximum:
+            raise ScaleError(f"{name}: expected {minimum} to {maximum}, not {value}")
 
 
-def text_line(found: dict[str, Any]) -> str:
-    """The result as key=value."""
+def text_line(result: dict[str, Any]) -> str:
+    """Return the result as `key=value` pairs on one line."""
     flat: dict[str, Any] = {}
-    for key, value in found.items():
+    for key, value in result.items():
         if isinstance(value, dict):
-            flat |= {f"{key}.{name}": one for name, one in value.items()}
+            flat |= {f"{key}.{name}": inner for name, inner in value.items()}
         else:
             flat[key] = value
     return " ".join(f"{key}={'-' if value is None else value}" for key, value in flat.items())
 
 
-def interrupted(number: int, frame: FrameType | None) -> None:
-    """SIGTERM is taken as an interrupt: all processes end first."""
+def raise_keyboard_interrupt(number: int, frame: FrameType | None) -> None:
+    """Handle SIGTERM as an interrupt, so that all child processes are ended first."""
     raise KeyboardInterrupt
