--- a/lupintack/client/__init__.py
+++ b/lupintack/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client library for the apps' side: HTTP/2 and HTTP/1.1, typed results, tries within a budget."""
+"""The client library for apps: HTTP/2 and HTTP/1.1, typed results, retries within a budget."""
 
 from lupintack.client.api import Call, Client
 from lupintack.client.results import Failed, Holds, Refused, Result, Served, Unknown
--- a/lupintack/client/api.py
+++ b/lupintack/client/api.py
@@ -1,7 +1,7 @@
-"""The client: calls, tries, deadlines, and waits between tries.
+"""The client: calls, their attempts, deadlines and backoff.
 
-One thread hands tries to lines, waits for what is due, and ends what is late. Results come as typed values,
-and never as exceptions; docs/client.md shows the use, examples/ has programs.
+One thread passes attempts to connections, runs timers, and ends calls at their deadline. Results are typed
+values, never exceptions; docs/client.md describes their use; examples/ has a program.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from types import TracebackType
 
 from lupintack.client.attempt import Attempt, Reply
-from lupintack.client.http1 import Http1Lines
-from lupintack.client.http2 import Http2Line
+from lupintack.client.http1 import Http1ConnectionPool
+from lupintack.client.http2 import Http2Connection
 from lupintack.client.results import Failed, Holds, Refused, Result, Served, Unknown
 from lupintack.clock import now_us
 from lupintack.limits.retries import ClientAttemptResult, RetryBudget, RetryTerms
 
 UNSAFE = frozenset(("alert-ack",))
-WAIT_MOST_MS = 60_000
+MAX_WAIT_MS = 60_000
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request of the caller's, over all its tries."""
+    """One request of the caller, over all its attempts."""
 
     cls: str
     item: str
@@ -45,12 +45,12 @@
     attempt: Attempt | None = None
 
     def result(self, timeout: float | None = None) -> Result:
-        """Wait for the end of it; TimeoutError after `timeout` seconds, if given."""
+        """Wait for the result and return it; raise TimeoutError after `timeout` seconds, if given."""
         return self.future.result(timeout)
 
 
 class Client:
-    """Calls to one edge router, from any thread. Use it as a context, or call `close`."""
+    """Sends calls to one edge router, from any thread. Use it as a context manager, or call `close`."""
 
     def __init__(
         self,
@@ -62,20 +62,22 @@
         retries: RetryTerms = RetryTerms(),  # noqa: B008 - it is frozen
         seed: int | None = None,
     ) -> None:
-        """`connections` bounds those of HTTP/1.1; HTTP/2 uses one. `unsafe` names classes that never run
-        twice.
+        """Start the thread of the client.
+
+        `connections` is the limit for HTTP/1.1; HTTP/2 uses one. Calls of the classes in `unsafe` are never
+        repeated if they may have run.
         """
         self.address = address
         self.unsafe = frozenset(unsafe)
         self.retries = RetryBudget(retries)
         self.random = Random(seed)
-        self.lines = None if http2 else Http1Lines(address, connections)
-        self.line: Http2Line | None = None
-        self.old: list[Http2Line] = []  # going away, with tries on them
-        self.cond = threading.Condition()
-        self.due: list[tuple[int, int, Callable[[], None]]] = []
-        self.waiting: deque[Call] = deque()  # tries that no line has taken yet
-        self.order = itertools.count()
+        self.http1_pool = None if http2 else Http1ConnectionPool(address, connections)
+        self.http2_connection: Http2Connection | None = None
+        self.draining_connections: list[Http2Connection] = []  # going away, with attempts on them
+        self.condition = threading.Condition()
+        self.timers: list[tuple[int, int, Callable[[], None]]] = []
+        self.waiting: deque[Call] = deque()  # no connection has taken their attempts yet
+        self.timer_sequence = itertools.count()
         self.closed = False
         self.open: set[Call] = set()
         self.thread = threading.Thread(target=self._run, name="client", daemon=True)
@@ -86,11 +88,11 @@
     def get(
         self, cls: str, item: str, *, part: int = 0, group: int = 0, have: str = "", wait_ms: int = 2000
     ) -> Result:
-        """Bytes of an object's part; `have` is the tag of the caller's copy."""
+        """Fetch a part of an object; `have` is the tag of the caller's copy."""
         return self.begin(cls, item, part=part, group=group, have=have, wait_ms=wait_ms).result()
 
     def put(self, cls: str, item: str, body: bytes, *, group: int = 0, wait_ms: int = 2000) -> Result:
-        """A write, such as an alert-ack."""
+        """Send a write, such as an alert-ack."""
         return self.begin(cls, item, group=group, body=body, wait_ms=wait_ms).result()
 
     def begin(
@@ -104,41 +106,47 @@
         have: str = "",
         wait_ms: int = 2000,
     ) -> Call:
-        """The same without waiting; with a body, or an unsafe class, it is a write. ValueError for bad
-        words.
+        """Begin a call without waiting for its result; with a body or an unsafe class it is a write.
+
+        Raises ValueError for invalid arguments and for a closed client.
         """
-        if not 0 < wait_ms <= WAIT_MOST_MS:
-            raise ValueError(f"wait_ms: 1 to {WAIT_MOST_MS} is wanted, not {wait_ms}")
+        if not 0 < wait_ms <= MAX_WAIT_MS:
+            raise ValueError(f"wait_ms: expected 1 to {MAX_WAIT_MS}, not {wait_ms}")
         if len(item) != 16 or any(c not in "0123456789abcdef" for c in item):
-            raise ValueError(f"item: 16 hex digits are wanted, not {item!r}")
+            raise ValueError(f"item: expected 16 hex digits, not {item!r}")
         if not cls.isascii() or not cls.replace("-", "").isalnum():
-            raise ValueError(f"cls: a name is wanted, not {cls!r}")
+            raise ValueError(f"cls: expected a name, not {cls!r}")
         now = now_us()
         call = Call(cls, item, part, group, body or b"", have, now, now + wait_ms * 1000, Future())
-        with self.cond:
+        with self.condition:
             if self.closed:
                 raise ValueError("the client is closed")
             self.open.add(call)
             self.retries.on_first_attempt()
             self.waiting.append(call)
-            heapq.heappush(self.due, (call.deadline_us, next(self.order), lambda: self._late(call)))
-            self.cond.notify()
+            heapq.heappush(
+                self.timers, (call.deadline_us, next(self.timer_sequence), lambda: self._on_deadline(call))
+            )
+            self.condition.notify()
         return call
 
     def close(self) -> None:
-        """End the lines; calls that are open end as unknown."""
-        with self.cond:
+        """Close the connections; open calls end as Unknown."""
+        with self.condition:
             if self.closed:
                 return
             self.closed = True
-            self.cond.notify()
+            self.condition.notify()
         self.thread.join()
-        for line in [*self.old, *([self.line] if self.line else [])]:
-            line.close()
-        if self.lines is not None:
-            self.lines.close()
+        for connection in [
+            *self.draining_connections,
+            *([self.http2_connection] if self.http2_connection else []),
+        ]:
+            connection.close()
+        if self.http1_pool is not None:
+            self.http1_pool.close()
         for call in list(self.open):
-            self._end(call, Reply(ClientAttemptResult.UNKNOWN, why="the client was closed"))
+            self._finish(call, Reply(ClientAttemptResult.UNKNOWN, why="the client was closed"))
 
     def __enter__(self) -> Client:
         """Return this client."""
@@ -154,48 +162,48 @@
 
     def _run(self) -> None:
         while True:
-            with self.cond:
+            with self.condition:
                 now = now_us()
                 if self.closed:
                     return
-                calls = []
-                while self.due and self.due[0][0] <= now:
-                    calls.append(heapq.heappop(self.due)[2])
-                if not calls and not self._ready():
-                    left = (self.due[0][0] - now) / 1e6 if self.due else None
-                    self.cond.wait(left)
+                expired = []
+                while self.timers and self.timers[0][0] <= now:
+                    expired.append(heapq.heappop(self.timers)[2])
+                if not expired and not self._can_send():
+                    timeout_s = (self.timers[0][0] - now) / 1e6 if self.timers else None
+                    self.condition.wait(timeout_s)
                     continue
-            for one in calls:
-                one()
-            self._hand_out()
+            for callback in expired:
+                callback()
+            self._send_waiting()
 
-    def _ready(self) -> bool:
-        """Whether a waiting try may find a line now."""
-        return bool(self.waiting) and not self.full
+    def _can_send(self) -> bool:
+        """Return whether the attempt of a waiting call may be sent now."""
+        return bool(self.waiting) and not self.at_stream_limit
 
-    full = False  # the line takes no more streams until one has ended
+    at_stream_limit = False  # the HTTP/2 connection takes no more streams until one has ended
 
-    def _freed(self) -> None:
-        with self.cond:
-            self.full = False
-            self.cond.notify()
+    def _on_capacity(self) -> None:
+        with self.condition:
+            self.at_stream_limit = False
+            self.condition.notify()
 
-    def _hand_out(self) -> None:
-        """Waiting tries to lines."""
+    def _send_waiting(self) -> None:
+        """Send the attempts of waiting calls, as far as connections take them."""
         while True:
-            with self.cond:
-                if not self.waiting or self.full or self.closed:
+            with self.condition:
+                if not self.waiting or self.at_stream_limit or self.closed:
                     return
                 call = self.waiting.popleft()
             if call.future.done():
                 continue
-            attempt = self._attempt(call)
-            if self.lines is not None:
+            attempt = self._new_attempt(call)
+            if self.http1_pool is not None:
                 call.attempt = attempt
-                self.lines.begin(attempt)
+                self.http1_pool.begin(attempt)
                 continue
             try:
-                line = self._line()
+                connection = self._open_connection()
             except OSError as error:
                 call.attempt = attempt
                 attempt.finish(
@@ -203,34 +211,35 @@
                 )
                 continue
             call.attempt = attempt
-            with self.cond:
-                self.full = True  # before the line is asked: what it frees from now on clears it
-            if line.begin(attempt):
-                with self.cond:
-                    self.full = False
+            with self.condition:
+                # Set before `begin`: a stream that ends from now on clears it.
+                self.at_stream_limit = True
+            if connection.begin(attempt):
+                with self.condition:
+                    self.at_stream_limit = False
             else:
                 call.tries -= 1
                 call.attempt = None
-                with self.cond:
+                with self.condition:
                     self.waiting.appendleft(call)
-                    if not line.usable() or not line.streams:
-                        self.full = False
-
-    def _line(self) -> Http2Line:
-        """The line that takes streams, or a new one."""
-        line = self.line
-        if line is None or not line.usable():
-            self.old = [one for one in self.old if not one.dead]
-            if line is not None and not line.dead:
-                self.old.append(line)
-            self.line = line = Http2Line(self.address, self._freed)
-        return line
-
-    def _attempt(self, call: Call) -> Attempt:
+                    if not connection.usable() or not connection.streams:
+                        self.at_stream_limit = False
+
+    def _open_connection(self) -> Http2Connection:
+        """Return the connection that takes streams, or open a new one."""
+        connection = self.http2_connection
+        if connection is None or not connection.usable():
+            self.draining_connections = [old for old in self.draining_connections if not old.is_closed]
+            if connection is not None and not connection.is_closed:
+                self.draining_connections.append(connection)
+            self.http2_connection = connection = Http2Connection(self.address, self._on_capacity)
+        return connection
+
+    def _new_attempt(self, call: Call) -> Attempt:
         call.tries += 1
         now = now_us()
         headers = {
-            "Req-Id": secrets.token_hex(8),  # new with every try
+            "Req-Id": secrets.token_hex(8),  # a new one for each attempt
             "Req-Wait-Ms": str(max(1, (call.deadline_us - now) // 1000)),
             "X-Batch": str(call.group),
         }
@@ -238,30 +247,30 @@
             headers["Req-Retry"] = "1"
         if call.have:
             headers["If-None-Match"] = f'"{call.have}"'
-        write = bool(call.body) or call.cls in self.unsafe
+        is_write = bool(call.body) or call.cls in self.unsafe
         part = f"?nth={call.part}" if call.part else ""
         path = f"/ops/{call.cls}/{call.item}{part}"
-        safe = call.cls not in self.unsafe and not write
+        is_safe = call.cls not in self.unsafe and not is_write
 
-        def done(reply: Reply) -> None:
-            self._tried(call, attempt, reply)
+        def on_done(reply: Reply) -> None:
+            self._on_attempt_end(call, attempt, reply)
 
-        method = "PUT" if write else "GET"
-        attempt = Attempt(method, path, headers, call.body, safe, call.deadline_us, done)
+        method = "PUT" if is_write else "GET"
+        attempt = Attempt(method, path, headers, call.body, is_safe, call.deadline_us, on_done)
         return attempt
 
-    # Ends: on any thread
+    # Ends of attempts and calls, on any thread
 
-    def _tried(self, call: Call, attempt: Attempt, reply: Reply) -> None:
-        """A try has ended: another one, or the call's end."""
-        with self.cond:
+    def _on_attempt_end(self, call: Call, attempt: Attempt, reply: Reply) -> None:
+        """Schedule a retry after an attempt, or end the call."""
+        with self.condition:
             if call.future.done():
                 return
             wait = reply.headers.get("srv-wait-ms", "0")
             wait_us = int(wait) * 1000 if wait.isascii() and wait.isdigit() and len(wait) < 8 else 0
-            at = None
+            retry_at_us = None
             if not self.closed:
-                at = self.retries.next_attempt_us(
+                retry_at_us = self.retries.next_attempt_us(
                     reply.end,
                     attempt.safe,
                     call.tries,
@@ -270,43 +279,48 @@
                     call.deadline_us,
                     self.random.random(),
                 )
-            if at is not None:
+            if retry_at_us is not None:
                 call.attempt = None
-                heapq.heappush(self.due, (at, next(self.order), lambda: self._again(call)))
-                self.cond.notify()
+                heapq.heappush(
+                    self.timers, (retry_at_us, next(self.timer_sequence), lambda: self._queue_retry(call))
+                )
+                self.condition.notify()
                 return
-        self._end(call, reply)
+        self._finish(call, reply)
 
-    def _again(self, call: Call) -> None:
-        with self.cond:
+    def _queue_retry(self, call: Call) -> None:
+        with self.condition:
             self.waiting.append(call)
 
-    def _late(self, call: Call) -> None:
-        """The deadline: nothing more is waited for."""
+    def _on_deadline(self, call: Call) -> None:
+        """End a call whose deadline has passed, and cancel its attempt."""
         if call.future.done():
             return
         attempt = call.attempt
         if attempt is None:
             why = "no time was left" if call.tries == 0 else "no time was left for another try"
-            self._end(call, Reply(ClientAttemptResult.NOT_PROCESSED, why=why))
+            self._finish(call, Reply(ClientAttemptResult.NOT_PROCESSED, why=why))
             return
         attempt.over = True
-        for line in [*self.old, *([self.line] if self.line else [])]:
-            line.give_up(attempt)
-        self._end(call, Reply(ClientAttemptResult.UNKNOWN, why="no answer by the deadline"))
-        self._freed()
-
-    def _end(self, call: Call, reply: Reply) -> None:
-        """The result, once."""
-        with self.cond:
+        for connection in [
+            *self.draining_connections,
+            *([self.http2_connection] if self.http2_connection else []),
+        ]:
+            connection.cancel(attempt)
+        self._finish(call, Reply(ClientAttemptResult.UNKNOWN, why="no answer by the deadline"))
+        self._on_capacity()
+
+    def _finish(self, call: Call, reply: Reply) -> None:
+        """Set the result of a call, unless it has one."""
+        with self.condition:
             if call.future.done():
                 return
             self.open.discard(call)
-            call.future.set_result(result(reply, call.tries, now_us() - call.began_us))
+            call.future.set_result(call_result(reply, call.tries, now_us() - call.began_us))
 
 
-def result(reply: Reply, tries: int, took_us: int) -> Result:
-    """The last try's end as the caller's result."""
+def call_result(reply: Reply, tries: int, took_us: int) -> Result:
+    """Return the result of the last attempt as the result of the call."""
     tag = reply.headers.get("etag", "").strip('"')
     if reply.end is ClientAttemptResult.SERVED:
         return Served(tries=tries, took_us=took_us, body=reply.body, tag=tag)
--- a/lupintack/client/attempt.py
+++ b/lupintack/client/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a call: its fields, and the end that a line reports once."""
+"""One attempt of a call, and its result, which the connection reports once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a try brought."""
+    """The result of an attempt, with the response if there was one."""
 
     end: ClientAttemptResult
     status: int = 0
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A request on its way; `done` hears its end on some thread, once."""
+    """A request of a call; `done` is called once with its result, on any thread."""
 
     method: str
     path: str
@@ -33,14 +33,14 @@
     over: bool = False
 
     def finish(self, reply: Reply) -> None:
-        """The end, unless there was one."""
+        """Report the result, unless the attempt is over already."""
         if not self.over:
             self.over = True
             self.done(reply)
 
 
-def whole(status: int, headers: dict[str, str], body: bytes) -> Reply:
-    """A whole answer: what its status means (the platform's table of answers)."""
+def reply_of_status(status: int, headers: dict[str, str], body: bytes) -> Reply:
+    """Return the result of a complete response by its status (the platform's table of responses)."""
     if status == 200:
         end = ClientAttemptResult.SERVED
     elif status == 304:
--- a/lupintack/client/results.py
+++ b/lupintack/client/results.py
@@ -1,4 +1,4 @@
-"""What a call came to; one of these five, and nothing is raised for it."""
+"""The results of a call: one of the five subclasses of Result; none is raised as an exception."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """What all have: how many tries it took, and the time of all of them in microseconds."""
+    """The fields of all results: the number of attempts, and the time of all together in microseconds."""
 
     tries: int
     took_us: int
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Served(Result):
-    """The bytes, whole, and their tag."""
+    """The complete body and its tag."""
 
     body: bytes
     tag: str = ""
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Holds(Result):
-    """The caller's own copy is the one that would be served."""
+    """The caller's own copy is current."""
 
     tag: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused(Result):
-    """It never ran; `wait_ms` says how long to stay away (0: the router named no time)."""
+    """The call was not processed; `wait_ms` is the time until a new one is welcome (0: none was given)."""
 
     wait_ms: int = 0
     why: str = ""
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Failed(Result):
-    """The router, or what is behind it, said no; a write may have run."""
+    """The router or a member answered with an error status; a write may have run."""
 
     status: int
     text: str = ""
@@ -46,6 +46,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown(Result):
-    """No answer came. A write may have run, and is not sent again."""
+    """No response arrived. A write may have run, and is not repeated."""
 
     why: str
