--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,11 @@
-"""Counts across a fleet, from the logs of routers that ran with LUPINTACK_TRACE=1 (docs/fleet.md).
+"""Counts of events across a fleet, from the logs of routers run with LUPINTACK_TRACE=1 (docs/fleet.md).
 
     python benchmarks/fleet.py LOGS [--step 1000] [--zones]
 
-One row a span: requests, how they ended, attempts by where they went and from where misses were to be filled,
-how they ended, and what their answers noted. Then members by their start, with what was sent to them. With
---zones the rows once for each zone's routers, beside one another in time: how a lost site goes and comes.
+Prints one column for each span of time: requests and their results, attempts by the member they were sent to
+and by the source of their fills, and the results of attempts. Then it prints each member with the attempts
+sent to it. With --zones the counts are printed for the routers of each zone, on a common time axis: it shows
+how a site is lost and comes back.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-LINE = re.compile(r"~ (\d+) (\w+) ?(.*)")
+TRACE_LINE = re.compile(r"~ (\d+) (\w+) ?(.*)")
 
 
 @dataclass
 class Member:
-    """What the fleet's routers were told of a member, and sent to it."""
+    """A member as the routers' lists have it, and the attempts that they sent to it."""
 
     zone: int
     kind: int
     size: float
-    born: bool
-    at: int
-    gone: int = 0
+    is_new: bool
+    listed_at: int
+    removed_at: int = 0
     sent: Counter[int] = field(default_factory=Counter)
-    named: Counter[int] = field(default_factory=Counter)
-    ends: Counter[str] = field(default_factory=Counter)
+    named_as_source: Counter[int] = field(default_factory=Counter)
+    outcomes: Counter[str] = field(default_factory=Counter)
 
 
 class Fleet:
-    """All routers' lines, counted by spans of `step` ms."""
+    """The trace lines of all routers, counted by spans of `step` ms."""
 
     def __init__(self, step: int) -> None:
         self.step = step
@@ -44,66 +45,66 @@
         self.start = 0
 
     def read(self, path: Path) -> None:
-        """One router's log."""
-        open_: dict[str, int] = {}
+        """Count the lines of one router's log."""
+        attempt_counts: dict[str, int] = {}
         parts: dict[str, tuple[str, str]] = {}
-        for raw in path.read_text(errors="replace").splitlines():
-            found = LINE.search(raw)
-            if found is None:
+        for line in path.read_text(errors="replace").splitlines():
+            match = TRACE_LINE.search(line)
+            if match is None:
                 continue
-            at, word, told = int(found[1]), found[2], found[3].split()
+            at, event, values = int(match[1]), match[2], match[3].split()
             self.start = self.start or at
             span = (at - self.start) // self.step
             row = self.rows[span]
-            if word == "request":
-                open_[told[0]] = 0
+            if event == "request":
+                attempt_counts[values[0]] = 0
                 row["asks"] += 1
-                row[f"class{told[1]}"] += 1
-                row["retries"] += int(told[4])
-            elif word in ("reject", "fail", "local_copy"):
-                row[word] += 1
-            elif word == "fetch":
-                open_[told[0]] = open_.get(told[0], 0) + 1
-                parts[f"{told[0]}/{open_[told[0]] - 1}"] = (told[1], told[2])
-                row["further"] += open_[told[0]] > 1
-                self.sent(span, told[1], told[2], row, told[4])
-            elif word == "end":
-                row["served"] += told[8] == "1" and told[3] == "OK"
-                row["end " + told[3]] += 1
-                row["note " + told[4]] += 1
-                to, source = parts.pop(f"{told[0]}/{told[1]}", (told[2], ""))
-                one = self.members.get(to)
-                if one is not None:
-                    one.ends[told[3]] += 1
-                by = self.members.get(source)
-                if by is not None and told[4] != "HIT":
-                    by.ends["fill " + told[4]] += 1
-            elif word == "list":
+                row[f"class{values[1]}"] += 1
+                row["retries"] += int(values[4])
+            elif event in ("reject", "fail", "local_copy"):
+                row[event] += 1
+            elif event == "fetch":
+                attempt_counts[values[0]] = attempt_counts.get(values[0], 0) + 1
+                parts[f"{values[0]}/{attempt_counts[values[0]] - 1}"] = (values[1], values[2])
+                row["further"] += attempt_counts[values[0]] > 1
+                self.count_fetch(span, values[1], values[2], row, values[4])
+            elif event == "end":
+                row["served"] += values[8] == "1" and values[3] == "OK"
+                row["end " + values[3]] += 1
+                row["note " + values[4]] += 1
+                to, source = parts.pop(f"{values[0]}/{values[1]}", (values[2], ""))
+                member = self.members.get(to)
+                if member is not None:
+                    member.outcomes[values[3]] += 1
+                source_member = self.members.get(source)
+                if source_member is not None and values[4] != "HIT":
+                    source_member.outcomes["fill " + values[4]] += 1
+            elif event == "list":
                 row["lists"] += 1
-                self.list(at, told[1:])
+                self.update_members(at, values[1:])
 
-    def sent(self, span: int, to: str, source: str, row: Counter[str], how: str) -> None:
+    def count_fetch(self, span: int, to: str, source: str, row: Counter[str], flags: str) -> None:
         row["fetches"] += 1
-        row["held_only"] += how[2] == "1"
-        one, by = self.members.get(to), self.members.get(source)
-        if one is not None:
-            row[f"to kind{one.kind}"] += 1
-            row["to new"] += one.born
-            one.sent[span] += 1
-        if by is not None and source != to:
-            row[f"by kind{by.kind}"] += 1
-            by.named[span] += 1
-
-    def list(self, at: int, lines: list[str]) -> None:
+        row["held_only"] += flags[2] == "1"
+        member, source_member = self.members.get(to), self.members.get(source)
+        if member is not None:
+            row[f"to kind{member.kind}"] += 1
+            row["to new"] += member.is_new
+            member.sent[span] += 1
+        if source_member is not None and source != to:
+            row[f"by kind{source_member.kind}"] += 1
+            source_member.named_as_source[span] += 1
+
+    def update_members(self, at: int, lines: list[str]) -> None:
         for line in lines:
             id_, zone, kind, state, size, started = line.split(":")
-            one = self.members.setdefault(
+            member = self.members.setdefault(
                 id_, Member(int(zone), int(kind), float(size), float(started) > 0, at - self.start)
             )
             if state != "READY":
-                one.gone = one.gone or at - self.start
+                member.removed_at = member.removed_at or at - self.start
 
-    def rows_of(self) -> None:
+    def print_rows(self) -> None:
         names = sorted({name for row in self.rows.values() for name in row})
         names = [n for n in names if sum(row[n] for row in self.rows.values())]
         print("span".ljust(22), *(f"{span * self.step / 1000:6.1f}" for span in sorted(self.rows)))
@@ -111,53 +112,54 @@
             print(name.ljust(22), *(f"{self.rows[span][name]:6d}" for span in sorted(self.rows)))
         print()
 
-    def print(self) -> None:
-        self.rows_of()
-        for id_, one in sorted(self.members.items(), key=lambda pair: (pair[1].kind, pair[1].zone)):
+    def print_report(self) -> None:
+        self.print_rows()
+        for id_, member in sorted(self.members.items(), key=lambda pair: (pair[1].kind, pair[1].zone)):
             spans = range(max(self.rows) + 1)
             print(
-                f"{id_:16} zone {one.zone} kind {one.kind} size {one.size:g} {'new' if one.born else 'old'} "
-                f"told {one.at} left {one.gone} {dict(one.ends)}"
+                f"{id_:16} zone {member.zone} kind {member.kind} size {member.size:g} "
+                f"{'new' if member.is_new else 'old'} "
+                f"told {member.listed_at} left {member.removed_at} {dict(member.outcomes)}"
             )
-            if sum(one.sent.values()):
-                print("   sent ", *(one.sent[s] for s in spans))
-            if sum(one.named.values()):
-                print("   named", *(one.named[s] for s in spans))
+            if sum(member.sent.values()):
+                print("   sent ", *(member.sent[s] for s in spans))
+            if sum(member.named_as_source.values()):
+                print("   named", *(member.named_as_source[s] for s in spans))
 
 
 def zone(path: Path) -> int:
-    """A router's zone: that of the members that most of its attempts went to, parents and origin aside."""
+    """Return a router's zone: that of the caches to which it sent most of its attempts."""
     kinds: dict[str, tuple[int, int]] = {}
     to: Counter[int] = Counter()
     text = path.read_text(errors="replace")
-    for found in LINE.finditer(text):
-        told = found[3].split()
-        if found[2] == "list":
-            for line in told[1:]:
+    for match in TRACE_LINE.finditer(text):
+        values = match[3].split()
+        if match[2] == "list":
+            for line in values[1:]:
                 id_, where, kind, *_ = line.split(":")
                 kinds[id_] = int(where), int(kind)
-        elif found[2] == "fetch" and told[1] in kinds:
-            where, kind_of = kinds[told[1]]
+        elif match[2] == "fetch" and values[1] in kinds:
+            where, kind_of = kinds[values[1]]
             to[where] += kind_of == 0
     return max(to, key=lambda where: to[where], default=-1)
 
 
-def zones(logs: Path, step: int) -> int:
-    """Rows for each zone's routers; all spans begin at the first line of any of them."""
+def print_zones(logs: Path, step: int) -> int:
+    """Print the rows for the routers of each zone; all spans begin at the first line of any router."""
     groups: dict[int, list[Path]] = defaultdict(list)
-    firsts = []
+    start_times = []
     for path in sorted(logs.glob("*.log")):
-        first = LINE.search(path.read_text(errors="replace"))
+        first = TRACE_LINE.search(path.read_text(errors="replace"))
         if first is not None:
-            firsts.append(int(first[1]))
+            start_times.append(int(first[1]))
             groups[zone(path)].append(path)
     for where, paths in sorted(groups.items()):
         fleet = Fleet(step)
-        fleet.start = min(firsts)
+        fleet.start = min(start_times)
         for path in paths:
             fleet.read(path)
         print(f"zone {where}: {len(paths)} routers")
-        fleet.rows_of()
+        fleet.print_rows()
     return 0 if groups else 1
 
 
@@ -165,17 +167,17 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("logs", type=Path)
     parser.add_argument("--step", type=int, default=1000, help="span in ms")
-    parser.add_argument("--zones", action="store_true", help="rows for each zone's routers")
-    wanted = parser.parse_args()
-    if wanted.zones:
-        return zones(wanted.logs, wanted.step)
-    fleet = Fleet(wanted.step)
-    for path in sorted(wanted.logs.glob("*.log")):
+    parser.add_argument("--zones", action="store_true", help="print the rows for the routers of each zone")
+    arguments = parser.parse_args()
+    if arguments.zones:
+        return print_zones(arguments.logs, arguments.step)
+    fleet = Fleet(arguments.step)
+    for path in sorted(arguments.logs.glob("*.log")):
         fleet.read(path)
     if not fleet.rows:
         print("no traced lines: were the routers started with LUPINTACK_TRACE=1?", file=sys.stderr)
         return 1
-    fleet.print()
+    fleet.print_report()
     return 0
 
 
--- a/benchmarks/gone.py
+++ b/benchmarks/gone.py
@@ -1,11 +1,12 @@
-"""How soon a client's leaving is noticed, in a busy process with hundreds of connections.
+"""Time until a busy router with hundreds of connections notices that a client has disconnected.
 
     python benchmarks/gone.py [--clients 300] [--load 8]
 
-Each client asks for an object that its cache is slow with; then each leaves, one after another, by a close,
-by a reset, or with 10 KB behind its request, while others ask as fast as they are answered. Measured is the
-time from the leaving to the cache's hearing that the attempt is given up, which is more than that in which a
-further one could begin. Stand-ins and clients run in this process and share its interpreter.
+Each client requests an object that its cache serves slowly. Then the clients disconnect one after another: by
+a close, by a reset, or by a close with 10 KB sent behind the request, under the load of other clients in a
+closed loop. Measured is the time from the disconnection to the cancellation of the attempt at the cache,
+which is more than the time in which another attempt could begin. Stand-ins and clients run in this process
+and share its interpreter.
 """
 
 from __future__ import annotations
@@ -28,32 +29,32 @@
 
 
 def cpu_s(pid: int) -> float:
-    """What a process has used."""
-    told = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(told[11]) + int(told[12])) / 100.0
+    """Return the CPU seconds that a process has used."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / 100.0
 
 
-def part(times: list[float], share: float) -> float:
-    """A quantile, in milliseconds."""
+def quantile_ms(times: list[float], share: float) -> float:
+    """Return a quantile of times in seconds, in milliseconds."""
     return sorted(times)[min(len(times) - 1, int(len(times) * share))] * 1000.0
 
 
 def main() -> None:
-    """Play, and print a line for each kind of leaving."""
-    words = argparse.ArgumentParser()
-    words.add_argument("--clients", type=int, default=300)
-    words.add_argument("--load", type=int, default=8)
-    told = words.parse_args()
+    """Run the benchmark and print a line for each kind of disconnection."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--clients", type=int, default=300)
+    parser.add_argument("--load", type=int, default=8)
+    arguments = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (8192, 8192))
     fleet = Fleet(Terms(delay_s=lambda name, cls: SLOW_S * (cls == "river-video")))
-    out: set[str] = set()
+    started: set[str] = set()
     ended: dict[str, float] = {}
     lock = threading.Lock()
 
     def watch(name: str, fields: dict[str, str]) -> Callable[[], None]:
         item = fields["item"]
         with lock:
-            out.add(item)
+            started.add(item)
 
         def over() -> None:
             with lock:
@@ -63,40 +64,42 @@
 
     fleet.watch = watch
     with tempfile.TemporaryDirectory() as tmp:
-        play = Processes(Path(tmp), fleet=fleet, sockets=4096)
+        processes = Processes(Path(tmp), fleet=fleet, sockets=4096)
         try:
-            process, _ = play.start()
+            process, _ = processes.start()
             clients = []
-            for n in range(told.clients):
-                sock = socket.create_connection(play.listen)
+            for n in range(arguments.clients):
+                sock = socket.create_connection(processes.listen)
                 item = f"{0xABC000 + n:016x}"
                 head = f"GET /ops/river-video/{item} HTTP/1.1\r\nHost: x\r\nReq-Id: {item}\r\n"
                 sock.sendall(f"{head}Req-Wait-Ms: 60000\r\n\r\n".encode() + b"x" * 10_240 * (n % 3 == 2))
                 clients.append((item, sock, n % 3))
-            until = time.monotonic() + 20
-            while len(out) < told.clients and time.monotonic() < until:
+            deadline = time.monotonic() + 20
+            while len(started) < arguments.clients and time.monotonic() < deadline:
                 time.sleep(0.01)
-            load = Load(play.listen, told.load) if told.load else None
-            before, began = cpu_s(process.pid), time.monotonic()
+            load = Load(processes.listen, arguments.load) if arguments.load else None
+            cpu_before, started_at = cpu_s(process.pid), time.monotonic()
             time.sleep(2.0)
-            held = (cpu_s(process.pid) - before) / (time.monotonic() - began)
-            left: dict[str, tuple[float, int]] = {}
+            cores = (cpu_s(process.pid) - cpu_before) / (time.monotonic() - started_at)
+            left_at: dict[str, tuple[float, int]] = {}
             for item, sock, kind in clients:
                 if kind == 1:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                left[item] = (time.monotonic(), kind)
+                left_at[item] = (time.monotonic(), kind)
                 sock.close()
                 time.sleep(0.01)
             time.sleep(1.0)
             served = load.stop().get("200", 0) if load is not None else 0
             for kind, name in enumerate(KINDS):
-                took = [ended[i] - at for i, (at, k) in left.items() if k == kind and i in ended]
-                lost = sum(1 for i, (_, k) in left.items() if k == kind and i in out and i not in ended)
-                p50, p99, most = (part(took, share) for share in (0.5, 0.99, 1.0))
-                print(f"{name}: p50 {p50:.1f} ms, p99 {p99:.1f}, max {most:.1f}, not noticed {lost}")
-            print(f"CPU with all of them waiting and the load beside: {held:.2f} of a core; {served} served")
+                took = [ended[i] - at for i, (at, k) in left_at.items() if k == kind and i in ended]
+                unnoticed = sum(
+                    1 for i, (_, k) in left_at.items() if k == kind and i in started and i not in ended
+                )
+                p50, p99, maximum = (quantile_ms(took, share) for share in (0.5, 0.99, 1.0))
+                print(f"{name}: p50 {p50:.1f} ms, p99 {p99:.1f}, max {maximum:.1f}, not noticed {unnoticed}")
+            print(f"CPU with all of them waiting and the load beside: {cores:.2f} of a core; {served} served")
         finally:
-            play.close()
+            processes.close()
 
 
 if __name__ == "__main__":
--- a/benchmarks/resident.py
+++ b/benchmarks/resident.py
@@ -1,8 +1,8 @@
-"""Resident memory of `run` with every feature off, here and in another checkout of this repository.
+"""Resident memory of `lupintack run` with every feature off, in this and in another checkout.
 
     python benchmarks/resident.py [--against FOLDER] [--times 5]
 
-Each start gets a configuration of its own; the figure is VmRSS after a second with `/alive` answered, in KiB.
+Each start has its own configuration; the figure is VmRSS in KiB, one second after `/alive` answers.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 from lupintack.standins.fleet import Fleet
 
-HERE = Path(__file__).parents[1]
+REPOSITORY = Path(__file__).parents[1]
 
 
-def resident(folder: Path, fleet: Fleet) -> int:
-    """One start of the program in `folder`."""
+def resident_kib(folder: Path, fleet: Fleet) -> int:
+    """Start the program in `folder` and return its resident memory in KiB."""
     with socket.create_server(("127.0.0.1", 0)) as probe:
         port = probe.getsockname()[1]
     with tempfile.TemporaryDirectory() as temp:
@@ -33,8 +33,8 @@
         file.write_text(json.dumps(fleet.configuration(f"127.0.0.1:{port}", memory_mb=32, sockets=256)))
         environ = {**os.environ, "EDGE_CONFIG": str(file), "PYTHONPATH": str(folder)}
         environ |= {"MALLOC_ARENA_MAX": "2", "MALLOC_MMAP_THRESHOLD_": "1000000"}
-        words = [sys.executable, "-B", "-P", "-m", "lupintack"]
-        process = subprocess.Popen(words, env=environ, cwd=folder, stderr=subprocess.DEVNULL)
+        command = [sys.executable, "-B", "-P", "-m", "lupintack"]
+        process = subprocess.Popen(command, env=environ, cwd=folder, stderr=subprocess.DEVNULL)
         try:
             for _ in range(500):
                 try:
@@ -56,17 +56,17 @@
 @click.option("--against", type=click.Path(exists=True, path_type=Path), help="Another checkout.")
 @click.option("--times", default=5, show_default=True, type=click.IntRange(1, 50))
 def main(against: Path | None, times: int) -> None:
-    """Paired starts, this checkout and the other by turns."""
+    """Start this checkout and the other in turn, and print the figures of each."""
     fleet = Fleet()
-    folders = [HERE, *([against.resolve()] if against else [])]
-    found: dict[Path, list[int]] = {folder: [] for folder in folders}
+    folders = [REPOSITORY, *([against.resolve()] if against else [])]
+    resident_by_folder: dict[Path, list[int]] = {folder: [] for folder in folders}
     for _ in range(times):
         for folder in folders:
-            found[folder].append(resident(folder, fleet))
+            resident_by_folder[folder].append(resident_kib(folder, fleet))
     fleet.close()
     for name, folder in zip(("here", "against"), folders, strict=False):
-        got = found[folder]
-        print(f"{name:8} median {statistics.median(got):.0f} KiB, {min(got)} to {max(got)}, {times} starts")
+        kib = resident_by_folder[folder]
+        print(f"{name:8} median {statistics.median(kib):.0f} KiB, {min(kib)} to {max(kib)}, {times} starts")
 
 
 if __name__ == "__main__":
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -1,11 +1,12 @@
-"""Times of day-to-day service, on real processes under steady load; minimum, median and maximum of each.
+"""Times of routine operations on real processes under steady load: minimum, median and maximum of each.
 
     python benchmarks/service.py [--runs 10] [--clients 24] [--json FILE]
 
-start: `run` begun to the second address's yes. ban: call to its yes, and wants that the cache gets then.
-empty: evacuate to the last client connection's end, eight of them idle. call: each other answer of the second
-address while clients ask. upgrades: what becomes of each request, with new connections steered and without;
-memory and descriptors of both processes at their peak. Bounded: `--runs` of each, seconds a run; loopback.
+start: from the start of the process to ready on the second address. ban: from the call to its response, and
+the requests that the cache gets after that. empty: from the evacuate call to the end of the last client
+connection; eight of them are idle. call: responses of the second address to other calls. upgrades: the
+results of requests, with and without steering of new connections, and the peak of memory and descriptors of
+both processes together. Each is run `--runs` times for some seconds, on loopback.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 
 from lupintack.standins.processes import RUN, Load, Processes, call
 
-UNSTEERED = (
+RUN_UNSTEERED = (
     "-c",
     "import lupintack.process.upgrade_coordinator as u; u.steer = lambda sock, place: False\n"
     "from lupintack.__main__ import start; start()",
 )
-OLD_MB = 80
-IDLE = 8
+MEMORY_MB = 80
+IDLE_CONNECTIONS = 8
 
 
 def spread(values: list[float]) -> dict[str, float]:
@@ -44,24 +45,24 @@
     }
 
 
-def kept(where: tuple[str, int]) -> socket.socket:
-    """A connection that has been used once and is idle."""
-    sock = socket.create_connection(where, timeout=10.0)
+def open_idle_connection(address: tuple[str, int]) -> socket.socket:
+    """Return an idle connection that has served one request."""
+    sock = socket.create_connection(address, timeout=10.0)
     sock.sendall(b"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
     assert b" 200 " in sock.recv(4096)
     return sock
 
 
-def timed(where: tuple[str, int], method: str, target: str) -> float:
-    """Milliseconds of one call that is answered yes."""
+def timed_call_ms(address: tuple[str, int], method: str, target: str) -> float:
+    """Return the milliseconds of one call, which must be answered with 200."""
     began = time.monotonic()
-    status, text = call(where, method, target)
+    status, text = call(address, method, target)
     assert status == 200, (status, text)
     return (time.monotonic() - began) * 1000
 
 
-def service(runs: int, clients: int) -> dict[str, Any]:
-    """Start, ban, evacuation and the calls' answers under load, each run on a process of its own."""
+def measure_service(runs: int, clients: int) -> dict[str, Any]:
+    """Measure start, ban, evacuation and the calls' response times under load, each run on a new process."""
     times: dict[str, list[float]] = defaultdict(list)
     for _ in range(runs):
         with tempfile.TemporaryDirectory() as folder:
@@ -73,16 +74,17 @@
             time.sleep(0.5)
             member = site.fleet.members["s-1"]
             assert member.requests_by_class.total() > 0, "the cache was not in use"
-            idle = [kept(site.listen) for _ in range(IDLE)]
-            times["ban_ms"].append(timed(admin, "POST", "/api/exclude?name=s-1"))
-            asked = member.requests_by_class.total()
+            idle = [open_idle_connection(site.listen) for _ in range(IDLE_CONNECTIONS)]
+            times["ban_ms"].append(timed_call_ms(admin, "POST", "/api/exclude?name=s-1"))
+            requests_before = member.requests_by_class.total()
             time.sleep(0.5)
-            times["wants_after_ban"].append(member.requests_by_class.total() - asked)
-            times["call_ms"] += [timed(admin, "GET", "/api/ready") for _ in range(5)]
-            times["call_ms"].append(timed(admin, "POST", "/api/include?name=s-1"))
-            # The front stops new connections 0.3 s after the first no; these clients do when told to.
+            times["wants_after_ban"].append(member.requests_by_class.total() - requests_before)
+            times["call_ms"] += [timed_call_ms(admin, "GET", "/api/ready") for _ in range(5)]
+            times["call_ms"].append(timed_call_ms(admin, "POST", "/api/include?name=s-1"))
+            # The front stops new connections 0.3 s after the first not-ready response; this load stops
+            # opening them when it is told to.
             began = time.monotonic()
-            times["call_ms"].append(timed(admin, "POST", "/api/evacuate"))
+            times["call_ms"].append(timed_call_ms(admin, "POST", "/api/evacuate"))
             load.accepts_no_connections.set()
             load.wait_ended()
             for sock in idle:
@@ -94,8 +96,8 @@
     return {name: spread(values) for name, values in times.items()}
 
 
-def held(process: subprocess.Popen[bytes]) -> tuple[int, int]:
-    """Proportional memory in KiB, and descriptors."""
+def process_usage(process: subprocess.Popen[bytes]) -> tuple[int, int]:
+    """Return the proportional memory in KiB and the open descriptors of a process; 0 if it has ended."""
     try:
         text = Path(f"/proc/{process.pid}/smaps_rollup").read_text()
         pss = next(int(line.split()[1]) for line in text.splitlines() if line.startswith("Pss:"))
@@ -104,42 +106,42 @@
         return 0, 0
 
 
-def upgrades(words: tuple[str, ...], runs: int, clients: int) -> dict[str, Any]:
-    """`runs` upgrades in a row under load."""
+def measure_upgrades(command: tuple[str, ...], runs: int, clients: int) -> dict[str, Any]:
+    """Measure `runs` upgrades, one after another, under load."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Processes(Path(folder), words, memory_mb=OLD_MB, sockets=384)
+        site = Processes(Path(folder), command, memory_mb=MEMORY_MB, sockets=384)
         old, _ = site.start()
         load = Load(site.listen, clients)
         time.sleep(1.0)
-        memory, sockets, took = [], [], []
+        memory, sockets, took_ms = [], [], []
         for _ in range(runs):
-            begun = len(site.running)
-            over = threading.Event()
-            seen: list[tuple[int, int]] = []
+            running_before = len(site.running)
+            finished = threading.Event()
+            samples: list[tuple[int, int]] = []
 
-            def watch(over: threading.Event = over, seen: list[tuple[int, int]] = seen) -> None:
-                while not over.wait(0.02):
-                    both = [held(one) for one in site.running[-2:]]
-                    seen.append((sum(one[0] for one in both), sum(one[1] for one in both)))
+            def watch(finished: threading.Event = finished, samples: list[tuple[int, int]] = samples) -> None:
+                while not finished.wait(0.02):
+                    usages = [process_usage(process) for process in site.running[-2:]]
+                    samples.append((sum(usage[0] for usage in usages), sum(usage[1] for usage in usages)))
 
             watcher = threading.Thread(target=watch)
             watcher.start()
             began = time.monotonic()
             new, _ = site.start()
-            assert len(site.running) == begun + 1
+            assert len(site.running) == running_before + 1
             old.send_signal(signal.SIGTERM)
             assert old.wait(10) == 0
-            took.append((time.monotonic() - began) * 1000)
-            over.set()
+            took_ms.append((time.monotonic() - began) * 1000)
+            finished.set()
             watcher.join()
-            memory.append(max(one[0] for one in seen) / 1024)
-            sockets.append(float(max(one[1] for one in seen)))
+            memory.append(max(sample[0] for sample in samples) / 1024)
+            sockets.append(float(max(sample[1] for sample in samples)))
             old = new
         outcomes = load.stop()
         site.close()
     return {
-        "upgrade_ms": spread(took), "memory_mb_both": spread(memory), "descriptors_both": spread(sockets),
-        "outcomes": outcomes, "limits": {"memory_mb": OLD_MB, "sockets": 384},
+        "upgrade_ms": spread(took_ms), "memory_mb_both": spread(memory), "descriptors_both": spread(sockets),
+        "outcomes": outcomes, "limits": {"memory_mb": MEMORY_MB, "sockets": 384},
     }  # fmt: skip
 
 
@@ -149,14 +151,14 @@
     parser.add_argument("--clients", type=int, default=24)
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
-    found = {
-        "service": service(args.runs, args.clients),
-        "steered": upgrades(RUN, args.runs, args.clients),
-        "unsteered": upgrades(UNSTEERED, args.runs, args.clients),
+    results = {
+        "service": measure_service(args.runs, args.clients),
+        "steered": measure_upgrades(RUN, args.runs, args.clients),
+        "unsteered": measure_upgrades(RUN_UNSTEERED, args.runs, args.clients),
     }
-    print(json.dumps(found, indent=2))
+    print(json.dumps(results, indent=2))
     if args.json:
-        args.json.write_text(json.dumps(found, indent=2) + "\n")
+        args.json.write_text(json.dumps(results, indent=2) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/spending.py
+++ b/benchmarks/spending.py
@@ -1,11 +1,12 @@
-"""Eight router processes that spend `store-fills` before a store that counts: a chart with the faults marked.
+"""Use of the budget `store-fills` by eight router processes under faults, counted by a stand-in store.
 
     python benchmarks/spending.py OUT [--seconds 8] [--whole 24] [--clients 6]
 
-Each stretch of `seconds` begins with a fault: none, the divider killed, started again, paused, and cut
-off one way, six of eight killed and started again. Beside it the same load with budgets off. Writes
-OUT/spending.png and .csv, and a JSON line a stretch: the most that was out at the store at any instant, and
-the mean as a share of the whole. Terms: promise 0.6 s, lease 1.6 s. Needs the extra `lab`.
+Each interval of `seconds` begins with a fault: none, the allocator killed, started again, paused, and cut off
+in one direction, and six of eight routers killed and started again. The same load is run with budgets off.
+Writes OUT/spending.png and .csv with the faults marked, and a JSON line for each interval: the peak of
+concurrent fills at the store, and their mean as a share of the budget. The promise is 0.6 s, the lease 1.6 s.
+Needs the extra `lab`.
 """
 
 from __future__ import annotations
@@ -30,19 +31,19 @@
 Mark = tuple[float, str]
 
 
-def divider(play: Routers) -> str:
-    """Who divides and is past its wait; "" for nobody."""
-    for name in play.running:
-        told = (play.status(name) if name not in play.paused else {}).get("budgets") or {}
-        if told.get("ready"):
+def find_allocator(routers: Routers) -> str:
+    """Return the name of the allocator that may grant leases; "" if there is none."""
+    for name in routers.running:
+        budgets = (routers.status(name) if name not in routers.paused else {}).get("budgets") or {}
+        if budgets.get("ready"):
             return name
     return ""
 
 
-def played(
+def run_fleet(
     whole: int, seconds: float, clients: int, on: bool, fill_s: float
 ) -> tuple[Level, list[Mark], dict[str, int], float]:
-    """One run; its level, its marks, what the clients were answered, and its end."""
+    """Run the fleet once; return its level, its marks, the clients' outcomes, and the time of its end."""
     table: dict[str, Any] = {
         "enabled": on, "voters": ["n0", "n1", "n2"], "at_once": {"store-fills": whole}, "floor_percent": 13,
         "promise_ms": 600, "lease_ms": 1600,
@@ -52,45 +53,45 @@
     fleet.watch = level.watch
     marks: list[Mark] = []
 
-    def stretch(text: str, *faults: Callable[[], None]) -> None:
+    def run_stretch(text: str, *faults: Callable[[], None]) -> None:
         for fault in faults:
             fault()
         marks.append((time.monotonic(), text))
         time.sleep(seconds)
 
     with tempfile.TemporaryDirectory() as folder:
-        play = Routers(Path(folder), 8, tables=lambda name: {"budgets": table}, fleet=fleet)
+        routers = Routers(Path(folder), 8, tables=lambda name: {"budgets": table}, fleet=fleet)
         try:
-            play.start()
+            routers.start()
             if on:
-                play.until(lambda: bool(divider(play)), 20.0, "one divides")
+                routers.until(lambda: bool(find_allocator(routers)), 20.0, "one divides")
                 time.sleep(3.0)
-            load = Clients(play.listen, clients)
+            load = Clients(routers.listen, clients)
             time.sleep(2.0)
-            stretch("no fault")
-            first = divider(play) or "n0"
-            stretch("divider killed", lambda: play.kill([first]))
-            stretch("started again", lambda: play.launch(first))
-            second = divider(play) or "n1"
-            stretch("divider paused", lambda: play.pause([second]))
-            stretch("and resumed", lambda: play.resume([second]))
-            third = divider(play) or "n2"
-            others = [name for name in play.names if name != third]
-            stretch(
+            run_stretch("no fault")
+            first_allocator = find_allocator(routers) or "n0"
+            run_stretch("divider killed", lambda: routers.kill([first_allocator]))
+            run_stretch("started again", lambda: routers.launch(first_allocator))
+            second_allocator = find_allocator(routers) or "n1"
+            run_stretch("divider paused", lambda: routers.pause([second_allocator]))
+            run_stretch("and resumed", lambda: routers.resume([second_allocator]))
+            third_allocator = find_allocator(routers) or "n2"
+            others = [name for name in routers.names if name != third_allocator]
+            run_stretch(
                 "divider heard by nobody",
-                lambda: play.switch.put(play.switch.pairs([third], others), cut=True),
+                lambda: routers.switch.put(routers.switch.pairs([third_allocator], others), cut=True),
             )
-            stretch("and again", play.switch.heal)
-            some = play.names[2:]
-            stretch(
+            run_stretch("and again", routers.switch.heal)
+            restarted = routers.names[2:]
+            run_stretch(
                 "six of eight killed, started",
-                lambda: play.kill(some),
-                *(partial(play.launch, name) for name in some),
+                lambda: routers.kill(restarted),
+                *(partial(routers.launch, name) for name in restarted),
             )
             outcomes = dict(load.stop())
             return level, marks, outcomes, time.monotonic()
         finally:
-            play.close()
+            routers.close()
 
 
 @click.command()
@@ -98,34 +99,36 @@
 @click.option("--seconds", default=8.0)
 @click.option("--whole", default=24)
 @click.option("--clients", default=6)
-@click.option("--fill-ms", default=200, help="Of a fill; clients and routers take 20 to 30 ms beside it.")
+@click.option("--fill-ms", default=200, help="Duration of a fill; clients and routers add 20 to 30 ms.")
 def main(out: Path, seconds: float, whole: int, clients: int, fill_ms: int) -> None:
-    """Play both, print, and draw."""
+    """Run with budgets off and on, print the figures, and draw the chart."""
     out.mkdir(parents=True, exist_ok=True)
-    drawn, axes = create_figure()
+    figure, axes = create_figure()
     rows: list[list[object]] = []
     for on, label in ((False, "budgets off"), (True, "budgets on")):
-        level, marks, outcomes, end = played(whole, seconds, clients, on, fill_ms / 1000)
-        zero = marks[0][0]
-        for (at, text), (after, _) in zip(marks, [*marks[1:], (end, "")], strict=True):
-            inside = [out for when, out in level.steps if at <= when < after]
-            said = {"series": label, "stretch": text, "most": max(inside, default=0)}
-            click.echo(json.dumps(said | {"mean_share": round(level.mean(at, after) / whole, 3)}))
+        level, marks, outcomes, end = run_fleet(whole, seconds, clients, on, fill_ms / 1000)
+        started_at = marks[0][0]
+        for (at, text), (until, _) in zip(marks, [*marks[1:], (end, "")], strict=True):
+            fills_out = [out for when, out in level.steps if at <= when < until]
+            line = {"series": label, "stretch": text, "most": max(fills_out, default=0)}
+            click.echo(json.dumps(line | {"mean_share": round(level.mean(at, until) / whole, 3)}))
         click.echo(json.dumps({"series": label, "answers": outcomes}))
-        times = [zero + n / 10 for n in range(int((end - zero) * 10))]
+        times = [started_at + n / 10 for n in range(int((end - started_at) * 10))]
         means = [level.mean(at, at + 0.1) for at in times]
-        axes.plot([at - zero for at in times], means, linewidth=1.0, label=label)
-        rows += [[label, round(at - zero, 1), round(mean, 2)] for at, mean in zip(times, means, strict=True)]
+        axes.plot([at - started_at for at in times], means, linewidth=1.0, label=label)
+        rows += [
+            [label, round(at - started_at, 1), round(mean, 2)] for at, mean in zip(times, means, strict=True)
+        ]
         if on:
             for at, text in marks:
-                axes.axvline(at - zero, color="grey", linewidth=0.6)
-                axes.text(at - zero, whole * 1.02, f" {text}", rotation=90, fontsize=6, va="bottom")
+                axes.axvline(at - started_at, color="grey", linewidth=0.6)
+                axes.text(at - started_at, whole * 1.02, f" {text}", rotation=90, fontsize=6, va="bottom")
     axes.axhline(whole, color="black", linewidth=0.8, linestyle="--")
     axes.set_xlabel("s")
     axes.set_ylabel("fills out at the store, mean of 0.1 s")
     axes.legend(loc="upper right", fontsize=7)
-    drawn.tight_layout()
-    drawn.savefig(out / "spending.png")
+    figure.tight_layout()
+    figure.savefig(out / "spending.png")
     with (out / "spending.csv").open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["series", "s", "fills_out"])
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -1,9 +1,10 @@
-"""Eight router processes behind the switch: a fault to the last router's verdict, five runs each.
+"""Time from a fault until all routers agree on the members: eight router processes behind the test switch.
 
     python benchmarks/switch.py [--runs 5] [--count 8]
 
-Probes of 200 ms and bounds to match (standins/routers.py FAST), so that a silent machine is removed after 1.6
-to 2.6 s, not 6.5 to 10. A line a case: seconds, least, median, most.
+Probes take 200 ms and other times are shortened to match (standins/routers.py FAST): a silent machine is
+removed after 1.6 to 2.6 s, not 6.5 to 10. Prints a line for each case: minimum, median and maximum in
+seconds.
 """
 
 from __future__ import annotations
@@ -20,37 +21,37 @@
 from lupintack.standins.routers import FAST, Routers
 
 
-def play(count: int, found: dict[str, list[float]]) -> None:
-    """All cases, one after another, with the same processes."""
+def run_cases(count: int, times_by_case: dict[str, list[float]]) -> None:
+    """Run all cases, one after another, with the same processes."""
     with tempfile.TemporaryDirectory() as folder:
         routers = Routers(Path(folder), count, sites=3)
         names, last = routers.names, routers.names[-1]
         others = names[:-1]
         try:
             routers.start()
-            found["cold start"].append(routers.agree(names))
+            times_by_case["cold start"].append(routers.agree(names))
             routers.kill([last])
-            found["killed: its port refuses"].append(routers.agree(others))
+            times_by_case["killed: its port refuses"].append(routers.agree(others))
             routers.launch(last)
-            found["started again"].append(routers.agree(names))
+            times_by_case["started again"].append(routers.agree(names))
             routers.pause([last])
-            found["paused for good"].append(routers.agree(others, 30.0))
+            times_by_case["paused for good"].append(routers.agree(others, 30.0))
             routers.resume([last])
-            found["and woken"].append(routers.agree(names))
+            times_by_case["and woken"].append(routers.agree(names))
             routers.switch.put(routers.switch.pairs([last], others), cut=True)
             began = time.monotonic()
-            gone = lambda: all(routers.members(name) == set(others) for name in others)  # noqa: E731
-            routers.until(gone, 30.0, "the others have removed it")
-            found["heard by nobody, and hears"].append(time.monotonic() - began)
+            is_removed = lambda: all(routers.members(name) == set(others) for name in others)  # noqa: E731
+            routers.until(is_removed, 30.0, "the others have removed it")
+            times_by_case["heard by nobody, and hears"].append(time.monotonic() - began)
             routers.switch.heal()
-            found["and heard again"].append(routers.agree(names))
-            most = names[2:]
-            routers.kill(most)
-            for name in most:
+            times_by_case["and heard again"].append(routers.agree(names))
+            restarted = names[2:]
+            routers.kill(restarted)
+            for name in restarted:
                 routers.launch(name)
-            found["six killed and started again"].append(routers.agree(names, 30.0))
+            times_by_case["six killed and started again"].append(routers.agree(names, 30.0))
             routers.term(last)
-            found["left"].append(routers.agree(others))
+            times_by_case["left"].append(routers.agree(others))
         finally:
             routers.close()
 
@@ -59,17 +60,19 @@
 @click.option("--runs", default=5)
 @click.option("--count", default=8)
 def main(runs: int, count: int) -> None:
-    """Play, and print."""
-    found: dict[str, list[float]] = defaultdict(list)
+    """Run the cases and print their times."""
+    times_by_case: dict[str, list[float]] = defaultdict(list)
     click.echo(json.dumps({"terms": FAST, "routers": count, "runs": runs}))
     for number in range(runs):
         try:
-            play(count, found)
+            run_cases(count, times_by_case)
         except AssertionError as error:
             click.echo(json.dumps({"run": number, "fault": str(error)[:300]}))
-    for case, times in [(case, times) for case, times in found.items() if times]:
-        least, middle, most = (round(f(times), 2) for f in (min, median, max))
-        click.echo(json.dumps({"case": case, "n": len(times), "min": least, "median": middle, "max": most}))
+    for case, times in [(case, times) for case, times in times_by_case.items() if times]:
+        minimum, middle, maximum = (round(f(times), 2) for f in (min, median, max))
+        click.echo(
+            json.dumps({"case": case, "n": len(times), "min": minimum, "median": middle, "max": maximum})
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -1,12 +1,13 @@
-"""Nine router processes in three regions whose budgets have two levels, through longer faults than CI plays.
+"""Nine router processes in three regions with budgets of two levels, under longer faults than CI tests.
 
     python -m benchmarks.two_levels [--pause 30] [--cut 30] [--clients 4]
 
-Promise 3 s and lease 8 s, as the operator file has them without other words. Stretches: no fault, the
-allocator of a region killed and started again, the fleet's allocator paused, a region cut off from the others
-and back. A JSON line a stretch: the most that was out at the stand-in store, and the mean as a share of the
-whole. The last line: the highest sum of all leases at any instant beside what leases may come to, for each
-budget of the fleet and for each region's own, and how the clients' requests ended, by router.
+The promise is 3 s and the lease 8 s, the defaults of the operator file. Intervals: no fault, the allocator of
+a region killed and started again, the fleet's allocator paused and resumed, a region cut off from the others
+and reconnected. Prints a JSON line for each interval: the peak of concurrent fills at the stand-in store, and
+their mean as a share of the budget. The last line has the peak sum of all leases and the most that may be
+leased, for each budget of the fleet and for the budget of each region, and the outcomes of the clients'
+requests by router.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from lupintack.standins import store
 from lupintack.standins.deployment import HOSTS
 from lupintack.standins.routers import Routers
-from tests import test_two_levels as played
+from tests import test_two_levels as two_levels
 
-TABLE = played.PROCESS_TABLE | {"promise_ms": 3000, "lease_ms": 8000}
+TABLE = two_levels.PROCESS_TABLE | {"promise_ms": 3000, "lease_ms": 8000}
 PATIENCE_S = 90.0
 
 
-class Play:
-    """The processes, and what is told of each stretch."""
+class TwoLevelRun:
+    """The router processes, with the figures of each interval."""
 
     def __init__(self, folder: Path, fill_s: float) -> None:
         self.level = store.Level()
@@ -38,104 +39,118 @@
         fleet.watch = self.level.watch
         self.routers = Routers(
             folder,
-            played.ROUTERS,
-            sites=played.REGION_COUNT,
+            two_levels.ROUTERS,
+            sites=two_levels.REGION_COUNT,
             tables=lambda name: {"budgets": TABLE},
             fleet=fleet,
         )
-        self.book = played.TwoLevelLeaseRecorder(self.routers)
-        self.began = 0.0
+        self.recorder = two_levels.TwoLevelLeaseRecorder(self.routers)
+        self.stretch_start = 0.0
 
     def all_leased(self) -> bool:
-        """Of the budget that all want."""
-        self.book.sample()
-        return self.book.last_leased_share(played.FILLS) > 0.99
-
-    def until(self, text: str) -> None:
-        """Wait until one allocates to the regions, and all is leased."""
-        self.routers.until(lambda: bool(self.book.fleet_allocator()) and self.all_leased(), PATIENCE_S, text)
-
-    def hold(self, seconds: float) -> None:
-        """Let that time go by, and read what is told."""
-        ends = time.monotonic() + seconds
-        while time.monotonic() < ends:
-            self.book.sample()
+        """Return whether all of the budget that all routers demand is leased."""
+        self.recorder.sample()
+        return self.recorder.last_leased_share(two_levels.FILLS) > 0.99
+
+    def wait_for_allocation(self, text: str) -> None:
+        """Wait until the fleet has an allocator and all of the budget is leased."""
+        self.routers.until(
+            lambda: bool(self.recorder.fleet_allocator()) and self.all_leased(), PATIENCE_S, text
+        )
+
+    def sample_for(self, seconds: float) -> None:
+        """Sample the leases for the given time."""
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            self.recorder.sample()
             time.sleep(0.2)
 
-    def stretch(self, text: str) -> None:
-        """Tell of what went by since the last stretch."""
+    def report_stretch(self, text: str) -> None:
+        """Print the figures of the interval since the last report."""
         now = time.monotonic()
-        inside = [out for when, out in self.level.steps if self.began <= when < now]
-        share = round(self.level.mean(self.began, now) / played.STORE_FILLS, 3)
-        told = {"stretch": text, "seconds": round(now - self.began, 1), "most": max(inside, default=0)}
-        click.echo(json.dumps(told | {"mean_share": share}))
-        self.began = now
+        fills_out = [out for when, out in self.level.steps if self.stretch_start <= when < now]
+        share = round(self.level.mean(self.stretch_start, now) / two_levels.STORE_FILLS, 3)
+        line = {
+            "stretch": text,
+            "seconds": round(now - self.stretch_start, 1),
+            "most": max(fills_out, default=0),
+        }
+        click.echo(json.dumps(line | {"mean_share": share}))
+        self.stretch_start = now
 
     def faults(self, pause_s: float, cut_s: float) -> None:
-        """All stretches, one after another."""
-        self.began = time.monotonic()
-        self.hold(10.0)
-        self.stretch("no fault")
-        fleets = self.book.fleet_allocator()
-        region = next(one for one in TABLE["regions"] if one != played.REGION_OF.get(fleets))
-        killed = self.book.region_allocator(region)
-        self.book.kill(killed)
-        allocates = self.book.region_allocator
-        self.routers.until(lambda: bool(allocates(region)), PATIENCE_S, "another one of its region")
-        self.stretch("a region's allocator killed")
+        """Cause all faults, one after another, and report each interval."""
+        self.stretch_start = time.monotonic()
+        self.sample_for(10.0)
+        self.report_stretch("no fault")
+        fleet_allocator = self.recorder.fleet_allocator()
+        region = next(name for name in TABLE["regions"] if name != two_levels.REGION_OF.get(fleet_allocator))
+        killed = self.recorder.region_allocator(region)
+        self.recorder.kill(killed)
+        region_allocator = self.recorder.region_allocator
+        self.routers.until(lambda: bool(region_allocator(region)), PATIENCE_S, "another one of its region")
+        self.report_stretch("a region's allocator killed")
         self.routers.launch(killed)
-        self.until("all is leased after a kill")
-        self.stretch("and started again")
-        paused = self.book.fleet_allocator()
+        self.wait_for_allocation("all is leased after a kill")
+        self.report_stretch("and started again")
+        paused = self.recorder.fleet_allocator()
         self.routers.pause([paused])
-        self.hold(pause_s)
-        self.stretch("the fleet's allocator paused")
+        self.sample_for(pause_s)
+        self.report_stretch("the fleet's allocator paused")
         self.routers.resume([paused])
-        self.until("all is leased after a pause")
-        self.stretch("and resumed")
-        away = [name for name in self.routers.names if played.REGION_OF[name] == "region2"]
-        self.routers.switch.split(away, [name for name in self.routers.names if name not in away])
-        self.hold(cut_s)
-        self.stretch("a region cut off")
+        self.wait_for_allocation("all is leased after a pause")
+        self.report_stretch("and resumed")
+        isolated = [name for name in self.routers.names if two_levels.REGION_OF[name] == "region2"]
+        self.routers.switch.split(isolated, [name for name in self.routers.names if name not in isolated])
+        self.sample_for(cut_s)
+        self.report_stretch("a region cut off")
         self.routers.switch.heal()
-        self.until("all is leased after a cut")
-        self.stretch("and back")
-
-    def sums(self) -> dict[str, list[int]]:
-        """For each budget the highest sum of leases at any instant, and what leases may come to."""
-        wide = {"fills": played.FILLS, "store-fills": played.STORE}
-        found = {name: [self.book.peak_sum(n), self.book.leasable(n)] for name, n in wide.items()}
+        self.wait_for_allocation("all is leased after a cut")
+        self.report_stretch("and back")
+
+    def peak_sums(self) -> dict[str, list[int]]:
+        """Return for each budget the peak sum of leases, and the most that may be leased."""
+        fleet_budgets = {"fills": two_levels.FILLS, "store-fills": two_levels.STORE}
+        result = {
+            name: [self.recorder.peak_sum(n), self.recorder.leasable(n)] for name, n in fleet_budgets.items()
+        }
         for region in TABLE["regions"]:
-            names = [name for name in self.routers.names if played.REGION_OF[name] == region]
-            found[region] = [self.book.peak_sum(played.OWN, names), self.book.leasable(played.OWN)]
-        return found
+            names = [name for name in self.routers.names if two_levels.REGION_OF[name] == region]
+            result[region] = [
+                self.recorder.peak_sum(two_levels.OWN, names),
+                self.recorder.leasable(two_levels.OWN),
+            ]
+        return result
 
 
 @click.command()
 @click.option(
-    "--pause", default=30.0, show_default=True, help="Seconds that the fleet's allocator stands still."
+    "--pause", default=30.0, show_default=True, help="Seconds of the pause of the fleet's allocator."
+)
+@click.option("--cut", default=30.0, show_default=True, help="Seconds for which a region is cut off.")
+@click.option(
+    "--clients", default=4, show_default=True, help="Clients of each router, each with one request at a time."
 )
-@click.option("--cut", default=30.0, show_default=True, help="Seconds that a region is apart.")
-@click.option("--clients", default=4, show_default=True, help="Of each router; one request at a time each.")
-@click.option("--fill-ms", default=200, show_default=True, help="Of a fill.")
+@click.option("--fill-ms", default=200, show_default=True, help="Duration of a fill.")
 def main(pause: float, cut: float, clients: int, fill_ms: int) -> None:
-    """Play it once, and print."""
+    """Run all faults once and print the figures."""
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(Path(folder), fill_ms / 1000)
+        run = TwoLevelRun(Path(folder), fill_ms / 1000)
         load = None
         try:
-            play.routers.start()
-            play.until("all is leased")
-            load = store.Clients(play.routers.listen, clients)
-            play.hold(2.0)
-            play.faults(pause, cut)
+            run.routers.start()
+            run.wait_for_allocation("all is leased")
+            load = store.Clients(run.routers.listen, clients)
+            run.sample_for(2.0)
+            run.faults(pause, cut)
             load.stop()
-            click.echo(json.dumps({"sums": play.sums(), "store": [play.level.most(), played.STORE_FILLS],
+            click.echo(json.dumps({"sums": run.peak_sums(),
+                                   "store": [run.level.most(), two_levels.STORE_FILLS],
                                    "answers": load.by_router}))  # fmt: skip
         finally:
             if load is not None:
                 load.stop()
-            play.routers.close()
+            run.routers.close()
 
 
 if __name__ == "__main__":
