--- a/tests/app.py
+++ b/tests/app.py
@@ -1,4 +1,4 @@
-"""A partner's app as a stand-in: HTTP/2 by hand, frame by frame where a test wants what no library sends."""
+"""A stand-in for an app: an HTTP/2 client that can also send raw frames, which no library would send."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Stream:
-    """What one stream has brought."""
+    """The response on one stream so far."""
 
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
@@ -37,10 +37,10 @@
 
 
 class App:
-    """One connection; nothing is read but while something is waited for."""
+    """One HTTP/2 connection; it reads from the socket only while a method waits."""
 
     def __init__(self, address: tuple[str, int], window: int = 1 << 20, read: bool = True) -> None:
-        """With `read`, the windows of what comes are given back at once."""
+        """Connect. With `read`, flow control windows are returned as soon as data is received."""
         self.sock = socket.create_connection(address, timeout=PATIENCE)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.read = read
@@ -60,20 +60,22 @@
             self.sock.sendall(data)
 
     def raw(self, *frames: Frame | bytes) -> None:
-        """Frames as they are, past the library's own idea of the connection."""
-        self.sock.sendall(b"".join(one if isinstance(one, bytes) else one.serialize() for one in frames))
+        """Send frames as they are, without a check by the HTTP/2 library."""
+        self.sock.sendall(
+            b"".join(frame if isinstance(frame, bytes) else frame.serialize() for frame in frames)
+        )
 
     def fields(self, method: str, path: str, **more: str) -> list[tuple[bytes, bytes]]:
-        """A request's fields in order; `Req_Id=...` and the like add to them or replace them."""
-        told = {
+        """Return a request's fields in order; keywords such as `Req_Id=...` add or replace fields."""
+        headers = {
             ":method": method, ":scheme": "http", ":authority": "x", ":path": path,
             "req-id": secrets.token_hex(8), "req-wait-ms": "2500",
         }  # fmt: skip
-        told |= {name.replace("_", "-").lower(): value for name, value in more.items()}
-        return [(name.encode(), value.encode()) for name, value in told.items() if value]
+        headers |= {name.replace("_", "-").lower(): value for name, value in more.items()}
+        return [(name.encode(), value.encode()) for name, value in headers.items() if value]
 
     def ask(self, method: str, path: str, body: bytes | None = None, end: bool = True, **more: str) -> int:
-        """A request on the next stream."""
+        """Send a request on the next stream; return the stream's id."""
         return self.ask_with(self.fields(method, path, **more), body, end)
 
     def ask_with(
@@ -83,9 +85,9 @@
         self.streams[stream] = Stream()
         self.session.send_headers(stream, headers, end_stream=end and not body)
         if body:
-            for at in range(0, len(body), 16384):
-                part = body[at : at + 16384]
-                self.session.send_data(stream, part, end_stream=end and at + len(part) == len(body))
+            for offset in range(0, len(body), 16384):
+                chunk = body[offset : offset + 16384]
+                self.session.send_data(stream, chunk, end_stream=end and offset + len(chunk) == len(body))
         self.flush()
         return stream
 
@@ -95,15 +97,17 @@
         self.flush()
 
     def until(self, done: Callable[[], bool], patience: float = PATIENCE) -> None:
-        """Read until it is so; TimeoutError, or EOFError where the connection ends first."""
-        limit = time.monotonic() + patience
+        """Read until `done()`; raise TimeoutError after `patience` s, EOFError if the connection ends."""
+        deadline = time.monotonic() + patience
         while not done():
             if self.closed:
                 raise EOFError("closed")
-            left = limit - time.monotonic()
-            if left <= 0:
-                raise TimeoutError(f"{len([s for s in self.streams.values() if not s.over()])} streams open")
-            self.sock.settimeout(left)
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0:
+                raise TimeoutError(
+                    f"{len([stream for stream in self.streams.values() if not stream.over()])} streams open"
+                )
+            self.sock.settimeout(remaining_s)
             try:
                 data = self.sock.recv(65536)
             except ConnectionError:
@@ -139,12 +143,12 @@
             self.closed = True
 
     def answer(self, stream: int, patience: float = PATIENCE) -> Stream:
-        """Wait for the end of one stream."""
+        """Wait for the end of one stream and return it."""
         self.until(self.streams[stream].over, patience)
         return self.streams[stream]
 
     def end(self, patience: float = PATIENCE) -> list[tuple[int, int]]:
-        """Wait for the end of the connection; the GOAWAYs that came."""
+        """Wait for the end of the connection; return the GOAWAY frames received: last stream id and error."""
         try:
             self.until(lambda: False, patience)
         except (EOFError, ProtocolError):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client library: results, deadlines, retries within their budget, GOAWAY and refused streams."""
+"""The client library: results, deadlines, the retry budget, GOAWAY and refused streams."""
 
 from __future__ import annotations
 
@@ -19,21 +19,24 @@
 from tests.site import eventually, site
 
 ITEM = "00000000000000aa"
-ONCE = RetryTerms(tries=1)
+ONE_ATTEMPT = RetryTerms(tries=1)
 
 
 @pytest.mark.parametrize("http2", [True, False])
-def test_all_kinds_of_results(http2: bool) -> None:
-    with site() as play, Client(play.http2 if http2 else play.http1, http2=http2) as client:
-        got = client.get("map-tiles", ITEM, part=3, group=17)
-        assert isinstance(got, Served) and got.body == content(ITEM, "3", 12_000) and got.tries == 1
-        assert isinstance(client.get("map-tiles", ITEM, part=3, have=got.tag), Holds)
+def test_get_put_and_revalidation_return_typed_results(http2: bool) -> None:
+    with (
+        site() as running_site,
+        Client(running_site.http2 if http2 else running_site.http1, http2=http2) as client,
+    ):
+        result = client.get("map-tiles", ITEM, part=3, group=17)
+        assert isinstance(result, Served) and result.body == content(ITEM, "3", 12_000) and result.tries == 1
+        assert isinstance(client.get("map-tiles", ITEM, part=3, have=result.tag), Holds)
         assert isinstance(client.put("alert-ack", ITEM, b"seen"), Served)
         calls = [client.begin("map-tiles", f"{n:016x}") for n in range(150)]
         assert all(isinstance(call.result(10), Served) for call in calls)
         failed = client.get("no-such-class", ITEM)
         assert isinstance(failed, Failed) and failed.status == 404 and "no such class" in failed.text
-        assert play.fleet.ran == {ITEM: 1}
+        assert running_site.fleet.ran == {ITEM: 1}
         with pytest.raises(ValueError, match="16 hex digits"):
             client.get("map-tiles", "AA")
         with pytest.raises(ValueError, match="wait_ms"):
@@ -41,30 +44,33 @@
 
 
 @pytest.mark.parametrize("http2", [True, False])
-def test_a_deadline_ends_one_call_and_the_line_goes_on(http2: bool) -> None:
-    """Also when the answer comes after its stream was given up."""
+def test_expired_deadline_ends_one_call_and_not_its_connection(http2: bool) -> None:
+    """The response arrives after its stream was cancelled; it must not end the connection either."""
     terms = Terms(delay_s=lambda name, cls: 0.3 if cls == "river-video" else 0.0)
-    with site(terms) as play, Client(play.http2 if http2 else play.http1, http2=http2) as client:
-        late = client.get("river-video", ITEM, wait_ms=150)
-        assert isinstance(late, (Unknown, Failed, Refused)) and late.took_us < 1_000_000
-        eventually(lambda: not play.node.core.requests_in_flight)
+    with (
+        site(terms) as running_site,
+        Client(running_site.http2 if http2 else running_site.http1, http2=http2) as client,
+    ):
+        result = client.get("river-video", ITEM, wait_ms=150)
+        assert isinstance(result, (Unknown, Failed, Refused)) and result.took_us < 1_000_000
+        eventually(lambda: not running_site.node.core.requests_in_flight)
         assert isinstance(client.get("map-tiles", ITEM), Served)
         if http2:
-            assert play.count("http2.connections") == 1
+            assert running_site.count("http2.connections") == 1
 
 
 @pytest.mark.parametrize("http2", [True, False])
-def test_nobody_there_is_refused_after_its_tries(http2: bool) -> None:
+def test_call_without_a_listening_router_is_refused_after_all_attempts(http2: bool) -> None:
     with socket.create_server(("127.0.0.1", 0)) as probe:
         address = probe.getsockname()
     with Client(address, http2=http2, retries=RetryTerms(tries=3, base_us=1000)) as client:
-        got = client.put("alert-ack", ITEM, b"seen")
-        assert isinstance(got, Refused) and got.tries == 3 and "no connection" in got.why
+        result = client.put("alert-ack", ITEM, b"seen")
+        assert isinstance(result, Refused) and result.tries == 3 and "no connection" in result.why
 
 
-def test_a_drain_moves_the_client_to_a_new_connection_and_no_ack_runs_twice() -> None:
+def test_client_opens_a_new_connection_on_drain_and_repeats_no_processed_ack() -> None:
     terms = Terms(delay_s=lambda name, cls: 0.02)
-    with site(terms) as play, Client(play.http2) as client:
+    with site(terms) as running_site, Client(running_site.http2) as client:
         calls = []
         for n in range(200):
             calls.append(
@@ -73,27 +79,27 @@
                 )
             )
             if n in (60, 120):
-                eventually(lambda: bool(play.front.connections))
-                for conn in list(play.front.connections.values()):
+                eventually(lambda: bool(running_site.front.connections))
+                for conn in list(running_site.front.connections.values()):
                     conn.begin_drain()
         results = [call.result(10) for call in calls]
-        odd = [one for one in results if not isinstance(one, (Served, Refused))]
-        assert not odd and sum(isinstance(one, Served) for one in results) > 100, odd
-        assert play.count("http2.connections") >= 2
-        assert set(play.fleet.ran.values()) == {1}, "an alert-ack ran twice"
+        unexpected = [result for result in results if not isinstance(result, (Served, Refused))]
+        assert not unexpected and sum(isinstance(result, Served) for result in results) > 100, unexpected
+        assert running_site.count("http2.connections") >= 2
+        assert set(running_site.fleet.ran.values()) == {1}, "an alert-ack ran twice"
 
 
-class Server:
-    """A scripted server: each stream that comes, in order, is handled by the next step."""
+class ScriptedServer:
+    """A server with a script: each request, in order of arrival, is handled by the next step."""
 
-    def __init__(self, steps: list[Callable[[Server, Session, int], bytes]]) -> None:
+    def __init__(self, steps: list[Callable[[ScriptedServer, Session, int], bytes]]) -> None:
         self.steps = steps
-        self.asked: list[int] = []
+        self.requests: list[int] = []
         self.connections = 0
-        self.sock = listen(self.serve)
+        self.sock = listen(self.handle_connection)
         self.address: Any = self.sock.getsockname()
 
-    def serve(self, sock: socket.socket) -> None:
+    def handle_connection(self, sock: socket.socket) -> None:
         self.connections += 1
         session = Session(False, 100, 65_536, 65_535)
         session.initiate_connection()
@@ -103,8 +109,8 @@
                 while data := sock.recv(65536):
                     for event in session.receive_data(data):
                         if isinstance(event, e.StreamEnded):
-                            self.asked.append(event.stream_id)
-                            step = self.steps.pop(0) if self.steps else ok
+                            self.requests.append(event.stream_id)
+                            step = self.steps.pop(0) if self.steps else send_ok
                             if step(self, session, event.stream_id):
                                 sock.sendall(session.data_to_send())
                                 return
@@ -113,56 +119,56 @@
                 return
 
 
-def ok(server: Server, session: Session, stream: int) -> bytes:
+def send_ok(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.send_headers(stream, [(b":status", b"200")], end_stream=False)
     session.send_data(stream, b"done", end_stream=True)
     return b""
 
 
-def refuse_stream(server: Server, session: Session, stream: int) -> bytes:
+def refuse_stream(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.reset_stream(stream, ErrorCodes.REFUSED_STREAM)
     return b""
 
 
-def reset(server: Server, session: Session, stream: int) -> bytes:
+def reset_stream(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.reset_stream(stream, ErrorCodes.INTERNAL_ERROR)
     return b""
 
 
-def cut(server: Server, session: Session, stream: int) -> bytes:
+def close_connection(server: ScriptedServer, session: Session, stream: int) -> bytes:
     return b"cut"
 
 
-def go_away_below(server: Server, session: Session, stream: int) -> bytes:
+def go_away_below(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.goaway(stream - 2 if stream > 2 else 0, ErrorCodes.NO_ERROR)
     return b""
 
 
-def go_away_and_serve(server: Server, session: Session, stream: int) -> bytes:
+def go_away_and_send_ok(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.goaway(HIGHEST_STREAM_ID, ErrorCodes.NO_ERROR)
     session.goaway(stream, ErrorCodes.NO_ERROR)
-    return ok(server, session, stream)
+    return send_ok(server, session, stream)
 
 
-def busy(server: Server, session: Session, stream: int) -> bytes:
+def reject_as_busy(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.send_headers(stream, [(b":status", b"503"), (b"srv-wait-ms", b"30")], end_stream=True)
     return b""
 
 
-def broken(server: Server, session: Session, stream: int) -> bytes:
+def fail_with_502(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.send_headers(stream, [(b":status", b"502")], end_stream=True)
     return b""
 
 
-def short(server: Server, session: Session, stream: int) -> bytes:
+def send_truncated_body(server: ScriptedServer, session: Session, stream: int) -> bytes:
     session.send_headers(stream, [(b":status", b"200"), (b"content-length", b"9")], end_stream=False)
     session.send_data(stream, b"four", end_stream=True)
     return b""
 
 
 @contextmanager
-def scripted(*steps: Callable[[Server, Session, int], bytes]) -> Iterator[Server]:
-    server = Server(list(steps))
+def scripted_server(*steps: Callable[[ScriptedServer, Session, int], bytes]) -> Iterator[ScriptedServer]:
+    server = ScriptedServer(list(steps))
     try:
         yield server
     finally:
@@ -174,51 +180,56 @@
     [
         (refuse_stream, (Served, 2), (Served, 2)),
         (go_away_below, (Served, 2), (Served, 2)),
-        (go_away_and_serve, (Served, 1), (Served, 1)),
-        (busy, (Served, 2), (Served, 2)),
-        (reset, (Unknown, 1), (Served, 2)),
-        (cut, (Unknown, 1), (Served, 2)),
-        (short, (Unknown, 1), (Served, 2)),
-        (broken, (Failed, 1), (Served, 2)),
+        (go_away_and_send_ok, (Served, 1), (Served, 1)),
+        (reject_as_busy, (Served, 2), (Served, 2)),
+        (reset_stream, (Unknown, 1), (Served, 2)),
+        (close_connection, (Unknown, 1), (Served, 2)),
+        (send_truncated_body, (Unknown, 1), (Served, 2)),
+        (fail_with_502, (Failed, 1), (Served, 2)),
     ],
 )
-def test_what_each_end_means_for_an_ack_and_for_a_tile(
-    step: Callable[[Server, Session, int], bytes], ack: tuple[type, int], tile: tuple[type, int]
+def test_result_and_attempts_of_an_ack_and_a_tile_for_each_server_failure(
+    step: Callable[[ScriptedServer, Session, int], bytes], ack: tuple[type, int], tile: tuple[type, int]
 ) -> None:
-    """An alert-ack is sent again only where it is proven that it never ran."""
+    """An alert-ack is sent again only if it was certainly not processed."""
     for cls, (kind, tries) in (("alert-ack", ack), ("map-tiles", tile)):
-        with scripted(step) as server, Client(server.address, retries=RetryTerms(base_us=1000)) as client:
+        with (
+            scripted_server(step) as server,
+            Client(server.address, retries=RetryTerms(base_us=1000)) as client,
+        ):
             call = client.begin(cls, ITEM, body=b"seen" if cls == "alert-ack" else None)
-            got = call.result(10)
-            assert isinstance(got, kind) and got.tries == tries and len(server.asked) == tries, got
+            result = call.result(10)
+            assert isinstance(result, kind) and result.tries == tries and len(server.requests) == tries, (
+                result
+            )
 
 
-def late(server: Server, session: Session, stream: int) -> bytes:
+def send_late_response(server: ScriptedServer, session: Session, stream: int) -> bytes:
     time.sleep(0.3)
-    return ok(server, session, stream)
+    return send_ok(server, session, stream)
 
 
-def test_an_answer_after_its_stream_was_given_up_ends_no_connection() -> None:
-    with scripted(late) as server, Client(server.address, retries=ONCE) as client:
+def test_late_response_on_a_cancelled_stream_does_not_end_the_connection() -> None:
+    with scripted_server(send_late_response) as server, Client(server.address, retries=ONE_ATTEMPT) as client:
         assert isinstance(client.get("map-tiles", ITEM, wait_ms=100), Unknown)
         assert isinstance(client.get("map-tiles", ITEM), Served)
         assert server.connections == 1
 
 
-def test_the_budget_bounds_what_a_failing_server_gets() -> None:
-    with scripted(*[reset] * 1000) as server:
+def test_retry_budget_bounds_the_requests_to_a_failing_server() -> None:
+    with scripted_server(*[reset_stream] * 1000) as server:
         with Client(server.address, retries=RetryTerms(base_us=1000, saved=5, share=0.1)) as client:
             results = [client.get("map-tiles", ITEM, wait_ms=5000) for _ in range(50)]
-        assert all(isinstance(one, Unknown) for one in results)
-        assert 50 <= len(server.asked) <= 50 + 5 + 5
+        assert all(isinstance(result, Unknown) for result in results)
+        assert 50 <= len(server.requests) <= 50 + 5 + 5
 
 
-def test_closing_ends_what_is_open() -> None:
+def test_closing_the_client_ends_open_calls_as_unknown() -> None:
     terms = Terms(delay_s=lambda name, cls: 1.0)
-    with site(terms) as play:
-        client = Client(play.http2)
+    with site(terms) as running_site:
+        client = Client(running_site.http2)
         call = client.begin("alert-ack", ITEM, body=b"seen")
-        eventually(lambda: play.member_requests("alert-ack") == 1)
+        eventually(lambda: running_site.member_requests("alert-ack") == 1)
         client.close()
         assert isinstance(call.result(5), Unknown)
         with pytest.raises(ValueError, match="closed"):
@@ -226,11 +237,11 @@
         assert not client.thread.is_alive()
 
 
-def test_the_demo_checks_itself_and_tells_where_to_ask() -> None:
+def test_demo_check_serves_all_objects_and_endpoints_are_complete() -> None:
     from lupintack.cli.demo import Demo
 
     with Demo() as demo:
-        told = demo.endpoints()
-        assert set(told) == {"http1", "http2", "admin", "path", "headers"} and "curl" in demo.page()
-        found = demo.check()
-    assert found["ok"] and found["http1"]["served"] == found["http2"]["served"] == 200
+        endpoints = demo.endpoints()
+        assert set(endpoints) == {"http1", "http2", "admin", "path", "headers"} and "curl" in demo.page()
+        report = demo.check()
+    assert report["ok"] and report["http1"]["served"] == report["http2"]["served"] == 200
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""`lupintack demo` as a user starts it, and the end of its router by SIGTERM."""
+"""`lupintack demo` as a process: its output, the router's end on SIGTERM, and a failed start."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from tests.app import App
 
 
-def test_one_line_of_json_then_it_serves_until_it_is_interrupted() -> None:
-    words = [sys.executable, "-m", "lupintack.cli.main", "demo", "--json"]
-    process = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+def test_demo_prints_one_line_of_json_and_serves_until_interrupted() -> None:
+    command = [sys.executable, "-m", "lupintack.cli.main", "demo", "--json"]
+    process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
     try:
         assert process.stdout is not None
-        told = json.loads(process.stdout.readline())
-        assert set(told) == {"http1", "http2", "admin", "path", "headers"}
-        host, _, port = told["admin"].rpartition(":")
+        endpoints = json.loads(process.stdout.readline())
+        assert set(endpoints) == {"http1", "http2", "admin", "path", "headers"}
+        host, _, port = endpoints["admin"].rpartition(":")
         assert call((host, int(port)), "GET", "/api/ready") == (200, "ready")
         assert call((host, int(port)), "POST", "/api/exclude?name=s-1") == (200, "out")
-        cls, item = told["path"].split("/")[2:]
+        cls, item = endpoints["path"].split("/")[2:]
         for name in ("http1", "http2"):
-            host, _, port = told[name].rpartition(":")
+            host, _, port = endpoints[name].rpartition(":")
             with Client((host, int(port)), http2=name == "http2") as client:
                 assert isinstance(client.get(cls, item), Served)
     finally:
@@ -35,7 +35,7 @@
     assert process.returncode == 0 and out == "" and "Traceback" not in errors
 
 
-def test_sigterm_ends_the_router_with_0_and_its_http2_clients_are_told() -> None:
+def test_router_on_sigterm_sends_goaway_to_http2_clients_and_exits_with_0() -> None:
     fleet = Fleet()
     router = Router(fleet, '[http2]\nenabled = true\nlisten = "{http2}"\n')
     try:
@@ -52,13 +52,13 @@
         fleet.close()
 
 
-def test_a_router_that_can_not_start_says_why() -> None:
+def test_error_of_a_failed_start_names_the_cause() -> None:
     fleet = Fleet()
     try:
         Router(fleet, "[http2]\nenabled = true\nlisten = 'nowhere'\n")
     except RuntimeError as error:
         assert "host:port" in str(error)
     else:
-        raise AssertionError("it came up")
+        raise AssertionError("the router started")
     finally:
         fleet.close()
