--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -84,7 +84,11 @@
         self.sample_for(10.0)
         self.report_stretch("no fault")
         fleet_allocator = self.recorder.fleet_allocator()
-        region = next(name for name in TABLE["regions"] if name != two_levels.REGION_OF.get(fleet_allocator))
+        region = next(
+            candidate
+            for candidate in TABLE["regions"]
+            if candidate != two_levels.REGION_OF.get(fleet_allocator)
+        )
         killed = self.recorder.region_allocator(region)
         self.recorder.kill(killed)
         region_allocator = self.recorder.region_allocator
--- a/lupintack/cli/lab.py
+++ b/lupintack/cli/lab.py
@@ -210,8 +210,8 @@
     """Return how a planted bug is caught: the seed or script, and the failing check."""
     if name in PLANTED_BUGS:
         script, rates = find_by_search(name)
-        seed = find_by_seeds(name, seeds)
-        return {"name": name, "caught_at": seed, "by": script, "rates": list(rates), "seeds": seeds}
+        caught_at = find_by_seeds(name, seeds)
+        return {"name": name, "caught_at": caught_at, "by": script, "rates": list(rates), "seeds": seeds}
     if name in PLANTED_LEVEL_BUGS:
         return catch_planted_level_bug(name, seeds)
     if name not in PLANTED_MEMBERSHIP_BUGS:
