--- a/lupintack/cli/main.py
+++ b/lupintack/cli/main.py
@@ -117,7 +117,10 @@
 @click.option("--admin", default="127.0.0.1:9093", show_default=True, help="A router's second address.")
 @click.option("--json", "as_json", is_flag=True, help="The whole answer as one line of JSON.")
 def fleet_status(admin: str, as_json: bool) -> None:
-    """Print a router's view of the others. Exit code 1: it is in the minority, or not alive."""
+    """Print a router's view of the others: state and since when, round trip, reason.
+
+    Exit code 1: the router is in the minority, or neither alive nor left.
+    """
     from lupintack.cli.fleet import CallError, fetch_status, status_page
 
     try:
@@ -186,7 +189,10 @@
     routers: int, seeds: str, seed: int | None, jobs: int, faults: str, script: Path | None, other: str,
     off: tuple[str, ...], trace: bool, plot: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
-    """Simulate the membership under random faults. Exit code 1: a false removal or another fault."""
+    """Simulate memberships of ROUTERS routers under random faults.
+
+    Exit code 1: a false removal, a broken invariant, or views that disagree.
+    """
     from lupintack.cli.lab import LabError, run_memberships
 
     try:
@@ -203,7 +209,9 @@
 @lab.command("budgets")
 @click.option("--routers", default=200, show_default=True, type=click.IntRange(3, 2000))
 @click.option("--seeds", default="0-19", show_default=True, help="A-B, both ends included.")
-@click.option("--regions", default=0, show_default=True, type=click.IntRange(0, 27), help="Regions; 0: none.")
+@click.option(
+    "--regions", default=0, show_default=True, type=click.IntRange(0, 27), help="Number of regions; 0: none."
+)
 @click.option(
     "--levels",
     default=2,
@@ -216,7 +224,10 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
 def lab_budgets(routers: int, seeds: str, regions: int, levels: int, jobs: int, as_json: bool) -> None:
-    """Simulate budgets under random faults. Exit code 1: leases ever exceeded a budget in sum."""
+    """Simulate budgets of ROUTERS routers under random faults.
+
+    Exit code 1: the sum of leases exceeded a budget.
+    """
     from lupintack.cli.lab import LabError, run_budgets
 
     try:
@@ -240,7 +251,10 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
 def lab_check(what: str, depth: int, levels: int, states: int, jobs: int, as_json: bool) -> None:
-    """Search all interleavings of a few processes. Exit code 1: leases exceed a budget; prints the script."""
+    """Search all interleavings of a few processes to DEPTH.
+
+    Exit code 1: leases exceed a budget; the script that leads there is printed.
+    """
     from lupintack.cli.lab import check_budgets
 
     result = check_budgets(depth, states, jobs, levels)
