--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -130,18 +130,18 @@
 def zone(path: Path) -> int:
     """Return a router's zone: that of the caches to which it sent most of its attempts."""
     kinds: dict[str, tuple[int, int]] = {}
-    to: Counter[int] = Counter()
+    attempts: Counter[int] = Counter()
     text = path.read_text(errors="replace")
     for match in TRACE_LINE.finditer(text):
         values = match[3].split()
         if match[2] == "list":
             for line in values[1:]:
-                id_, where, kind, *_ = line.split(":")
-                kinds[id_] = int(where), int(kind)
+                id_, zone_id, kind, *_ = line.split(":")
+                kinds[id_] = int(zone_id), int(kind)
         elif match[2] == "fetch" and values[1] in kinds:
-            where, kind_of = kinds[values[1]]
-            to[where] += kind_of == 0
-    return max(to, key=lambda where: to[where], default=-1)
+            zone_id, member_kind = kinds[values[1]]
+            attempts[zone_id] += member_kind == 0
+    return max(attempts, key=lambda zone_id: attempts[zone_id], default=-1)
 
 
 def print_zones(logs: Path, step: int) -> int:
@@ -153,12 +153,12 @@
         if first is not None:
             start_times.append(int(first[1]))
             groups[zone(path)].append(path)
-    for where, paths in sorted(groups.items()):
+    for zone_id, paths in sorted(groups.items()):
         fleet = Fleet(step)
         fleet.start = min(start_times)
         for path in paths:
             fleet.read(path)
-        print(f"zone {where}: {len(paths)} routers")
+        print(f"zone {zone_id}: {len(paths)} routers")
         fleet.print_rows()
     return 0 if groups else 1
 
--- a/benchmarks/gone.py
+++ b/benchmarks/gone.py
@@ -56,11 +56,11 @@
         with lock:
             started.add(item)
 
-        def over() -> None:
+        def on_cancelled() -> None:
             with lock:
                 ended.setdefault(item, time.monotonic())
 
-        return over
+        return on_cancelled
 
     fleet.watch = watch
     with tempfile.TemporaryDirectory() as tmp:
@@ -81,19 +81,19 @@
             cpu_before, started_at = cpu_s(process.pid), time.monotonic()
             time.sleep(2.0)
             cores = (cpu_s(process.pid) - cpu_before) / (time.monotonic() - started_at)
-            left_at: dict[str, tuple[float, int]] = {}
+            closed_at: dict[str, tuple[float, int]] = {}
             for item, sock, kind in clients:
                 if kind == 1:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                left_at[item] = (time.monotonic(), kind)
+                closed_at[item] = (time.monotonic(), kind)
                 sock.close()
                 time.sleep(0.01)
             time.sleep(1.0)
             served = load.stop().get("200", 0) if load is not None else 0
             for kind, name in enumerate(KINDS):
-                took = [ended[i] - at for i, (at, k) in left_at.items() if k == kind and i in ended]
+                took = [ended[i] - at for i, (at, k) in closed_at.items() if k == kind and i in ended]
                 unnoticed = sum(
-                    1 for i, (_, k) in left_at.items() if k == kind and i in started and i not in ended
+                    1 for i, (_, k) in closed_at.items() if k == kind and i in started and i not in ended
                 )
                 p50, p99, maximum = (quantile_ms(took, share) for share in (0.5, 0.99, 1.0))
                 print(f"{name}: p50 {p50:.1f} ms, p99 {p99:.1f}, max {maximum:.1f}, not noticed {unnoticed}")
--- a/benchmarks/spending.py
+++ b/benchmarks/spending.py
@@ -53,7 +53,7 @@
     fleet.watch = level.watch
     marks: list[Mark] = []
 
-    def run_stretch(text: str, *faults: Callable[[], None]) -> None:
+    def run_interval(text: str, *faults: Callable[[], None]) -> None:
         for fault in faults:
             fault()
         marks.append((time.monotonic(), text))
@@ -68,22 +68,22 @@
                 time.sleep(3.0)
             load = Clients(routers.listen, clients)
             time.sleep(2.0)
-            run_stretch("no fault")
+            run_interval("no fault")
             first_allocator = find_allocator(routers) or "n0"
-            run_stretch("divider killed", lambda: routers.kill([first_allocator]))
-            run_stretch("started again", lambda: routers.launch(first_allocator))
+            run_interval("divider killed", lambda: routers.kill([first_allocator]))
+            run_interval("started again", lambda: routers.launch(first_allocator))
             second_allocator = find_allocator(routers) or "n1"
-            run_stretch("divider paused", lambda: routers.pause([second_allocator]))
-            run_stretch("and resumed", lambda: routers.resume([second_allocator]))
+            run_interval("divider paused", lambda: routers.pause([second_allocator]))
+            run_interval("and resumed", lambda: routers.resume([second_allocator]))
             third_allocator = find_allocator(routers) or "n2"
             others = [name for name in routers.names if name != third_allocator]
-            run_stretch(
+            run_interval(
                 "divider heard by nobody",
                 lambda: routers.switch.put(routers.switch.pairs([third_allocator], others), cut=True),
             )
-            run_stretch("and again", routers.switch.heal)
+            run_interval("and again", routers.switch.heal)
             restarted = routers.names[2:]
-            run_stretch(
+            run_interval(
                 "six of eight killed, started",
                 lambda: routers.kill(restarted),
                 *(partial(routers.launch, name) for name in restarted),
--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -26,7 +26,7 @@
 from tests import test_two_levels as two_levels
 
 TABLE = two_levels.PROCESS_TABLE | {"promise_ms": 3000, "lease_ms": 8000}
-PATIENCE_S = 90.0
+TIMEOUT_S = 90.0
 
 
 class TwoLevelRun:
@@ -45,7 +45,7 @@
             fleet=fleet,
         )
         self.recorder = two_levels.TwoLevelLeaseRecorder(self.routers)
-        self.stretch_start = 0.0
+        self.interval_start = 0.0
 
     def all_leased(self) -> bool:
         """Return whether all of the budget that all routers demand is leased."""
@@ -55,7 +55,7 @@
     def wait_for_allocation(self, text: str) -> None:
         """Wait until the fleet has an allocator and all of the budget is leased."""
         self.routers.until(
-            lambda: bool(self.recorder.fleet_allocator()) and self.all_leased(), PATIENCE_S, text
+            lambda: bool(self.recorder.fleet_allocator()) and self.all_leased(), TIMEOUT_S, text
         )
 
     def sample_for(self, seconds: float) -> None:
@@ -65,24 +65,24 @@
             self.recorder.sample()
             time.sleep(0.2)
 
-    def report_stretch(self, text: str) -> None:
+    def report_interval(self, text: str) -> None:
         """Print the figures of the interval since the last report."""
         now = time.monotonic()
-        fills_out = [out for when, out in self.level.steps if self.stretch_start <= when < now]
-        share = round(self.level.mean(self.stretch_start, now) / two_levels.STORE_FILLS, 3)
+        fills_out = [out for when, out in self.level.steps if self.interval_start <= when < now]
+        share = round(self.level.mean(self.interval_start, now) / two_levels.STORE_FILLS, 3)
         line = {
             "stretch": text,
-            "seconds": round(now - self.stretch_start, 1),
+            "seconds": round(now - self.interval_start, 1),
             "most": max(fills_out, default=0),
         }
         click.echo(json.dumps(line | {"mean_share": share}))
-        self.stretch_start = now
+        self.interval_start = now
 
     def faults(self, pause_s: float, cut_s: float) -> None:
         """Cause all faults, one after another, and report each interval."""
-        self.stretch_start = time.monotonic()
+        self.interval_start = time.monotonic()
         self.sample_for(10.0)
-        self.report_stretch("no fault")
+        self.report_interval("no fault")
         fleet_allocator = self.recorder.fleet_allocator()
         region = next(
             candidate
@@ -92,25 +92,25 @@
         killed = self.recorder.region_allocator(region)
         self.recorder.kill(killed)
         region_allocator = self.recorder.region_allocator
-        self.routers.until(lambda: bool(region_allocator(region)), PATIENCE_S, "another one of its region")
-        self.report_stretch("a region's allocator killed")
+        self.routers.until(lambda: bool(region_allocator(region)), TIMEOUT_S, "another one of its region")
+        self.report_interval("a region's allocator killed")
         self.routers.launch(killed)
         self.wait_for_allocation("all is leased after a kill")
-        self.report_stretch("and started again")
+        self.report_interval("and started again")
         paused = self.recorder.fleet_allocator()
         self.routers.pause([paused])
         self.sample_for(pause_s)
-        self.report_stretch("the fleet's allocator paused")
+        self.report_interval("the fleet's allocator paused")
         self.routers.resume([paused])
         self.wait_for_allocation("all is leased after a pause")
-        self.report_stretch("and resumed")
+        self.report_interval("and resumed")
         isolated = [name for name in self.routers.names if two_levels.REGION_OF[name] == "region2"]
         self.routers.switch.split(isolated, [name for name in self.routers.names if name not in isolated])
         self.sample_for(cut_s)
-        self.report_stretch("a region cut off")
+        self.report_interval("a region cut off")
         self.routers.switch.heal()
         self.wait_for_allocation("all is leased after a cut")
-        self.report_stretch("and back")
+        self.report_interval("and back")
 
     def peak_sums(self) -> dict[str, list[int]]:
         """Return for each budget the peak sum of leases, and the most that may be leased."""
