--- a/lupintack/standins/edge.py
+++ b/lupintack/standins/edge.py
@@ -31,8 +31,8 @@
 ROOT = Path(__file__).parents[2]
 SHIM = Path(__file__).parent / "shim"
 PLAN_RELOAD_S = 0.06  # until a running process has read a new plan
-START_PATIENCE_S = 30.0
-CLIENT_PATIENCE_S = 8.0
+START_TIMEOUT_S = 30.0
+CLIENT_TIMEOUT_S = 8.0
 
 
 class End(Enum):
@@ -82,7 +82,7 @@
         self.write(board=self.proxy.address)
         self.requests: list[ClientRecord] = []
         self.lock = threading.Lock()
-        self.over = threading.Event()
+        self.stopping = threading.Event()
         self.clients: list[threading.Thread] = []
         self.process: subprocess.Popen[bytes] | None = None
         self.processes: list[subprocess.Popen[bytes]] = []
@@ -97,7 +97,7 @@
         temporary_file.write_text(json.dumps(self.data))
         temporary_file.replace(self.file)
 
-    def shim(self, **plan: Any) -> None:
+    def set_fault_plan(self, **plan: Any) -> None:
         """Replace the plan of failing system calls of the process; see standins/shim/sitecustomize.py."""
         file = self.tmp / "shim.json"
         temporary_file = file.with_suffix(".new")
@@ -126,13 +126,13 @@
         self.admin = ("127.0.0.1", free_ports(1)[0])
         self.start(arguments=arguments)
         assert self.process is not None
-        while self.staff("/api/ready")[0] != 200:
+        while self.call_admin("/api/ready")[0] != 200:
             assert self.process.poll() is None, self.log()
-            assert time.monotonic() < self.started_s + START_PATIENCE_S, self.log()
+            assert time.monotonic() < self.started_s + START_TIMEOUT_S, self.log()
             time.sleep(0.01)
         return old
 
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Return whether `/alive` answers 200."""
         try:
             with socket.create_connection(("127.0.0.1", self.port), timeout=2.0) as sock:
@@ -141,12 +141,12 @@
         except OSError:
             return False
 
-    def ready(self, patience_s: float = START_PATIENCE_S) -> float:
+    def ready(self, timeout_s: float = START_TIMEOUT_S) -> float:
         """Wait until `/alive` answers 200; return the seconds since the start of the process."""
         assert self.process is not None
-        while not self.alive():
+        while not self.is_alive():
             assert self.process.poll() is None, self.log()
-            assert time.monotonic() < self.started_s + patience_s, self.log()
+            assert time.monotonic() < self.started_s + timeout_s, self.log()
             time.sleep(0.01)
         return time.monotonic() - self.started_s
 
@@ -160,7 +160,7 @@
         self.process.kill()
         self.process.wait()
 
-    def staff(self, target: str, method: str = "GET") -> tuple[int, str]:
+    def call_admin(self, target: str, method: str = "GET") -> tuple[int, str]:
         """Send a request to the admin address; return status and body."""
         assert self.admin is not None
         return call(self.admin, method, target)
@@ -238,7 +238,7 @@
 
     def connect(self) -> socket.socket | None:
         try:
-            sock = socket.create_connection(("127.0.0.1", self.port), timeout=CLIENT_PATIENCE_S)
+            sock = socket.create_connection(("127.0.0.1", self.port), timeout=CLIENT_TIMEOUT_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             return sock
         except OSError:
@@ -250,7 +250,7 @@
         def run(number: int) -> None:
             sock: socket.socket | None = None
             count = 0
-            while not self.over.is_set():
+            while not self.stopping.is_set():
                 was_idle = sock is not None
                 sock = sock or self.connect()
                 if sock is None:
@@ -272,13 +272,13 @@
 
     def stop(self) -> list[ClientRecord]:
         """Stop the clients and return their records."""
-        self.over.set()
+        self.stopping.set()
         for thread in self.clients:
             thread.join()
         return self.requests
 
     def close(self) -> None:
-        self.over.set()
+        self.stopping.set()
         for process in self.processes:
             process.kill()
             process.wait()
--- a/lupintack/standins/soak.py
+++ b/lupintack/standins/soak.py
@@ -316,14 +316,14 @@
         kind = self.random.choice(("clock", "calls", "pause", "pause"))
         self.log_step(f"machine: {kind}")
         if kind == "clock":
-            self.edge.shim(step_s=self.random.choice((30.0, -30.0, 3600.0, -3600.0)))
+            self.edge.set_fault_plan(step_s=self.random.choice((30.0, -30.0, 3600.0, -3600.0)))
         elif kind == "calls":
             faults = [
                 {"call": call, "errno": self.random.choice(names), "part": part}
                 for call, part, names in FAULTY_CALLS
             ]
-            self.edge.shim(seed=self.seed, short=0.1, faults=faults)
-            self.call_later(1.0, self.edge.shim)
+            self.edge.set_fault_plan(seed=self.seed, short=0.1, faults=faults)
+            self.call_later(1.0, self.edge.set_fault_plan)
         elif kind == "pause":
             self.pause(draw_pause(self.random))
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -18,7 +18,7 @@
 
 from lupintack import sockets
 from lupintack.sockets import MAX_ACCEPT_DELAY_S, MAX_TRIES, AcceptFailures
-from lupintack.standins.edge import START_PATIENCE_S, ClientRecord, Edge, End
+from lupintack.standins.edge import START_TIMEOUT_S, ClientRecord, Edge, End
 from lupintack.standins.net import free_ports
 
 PHASE_S = 1.2  # total time with faults, and the same time without
@@ -75,7 +75,7 @@
 
 def compare(edge: Edge, new_connections: bool, plan: dict[str, Any]) -> Comparison:
     """Run a comparison, on new or kept connections; requests that end between turns count for neither."""
-    edge.requests, edge.over = [], threading.Event()
+    edge.requests, edge.stopping = [], threading.Event()
     if new_connections:
         threads = [threading.Thread(target=send_on_new_connections, args=(edge,)) for _ in range(6)]
         for thread in threads:
@@ -85,11 +85,11 @@
         edge.load(6, gap_s=0.01)
     turns: list[tuple[float, float]] = []
     for turn in range(2 * TURNS):
-        edge.shim(**(plan | {"seed": 7 + turn} if turn % 2 == 0 else {}))
+        edge.set_fault_plan(**(plan | {"seed": 7 + turn} if turn % 2 == 0 else {}))
         began_s = time.monotonic()
         time.sleep(PHASE_S / TURNS)
         turns.append((began_s, time.monotonic()))
-    edge.shim()
+    edge.set_fault_plan()
     requests = edge.stop()
     return Comparison(requests, ended_in(turns[::2], requests), ended_in(turns[1::2], requests))
 
@@ -103,7 +103,7 @@
 
 
 def send_on_new_connections(edge: Edge) -> None:
-    while not edge.over.is_set():
+    while not edge.stopping.is_set():
         sock = edge.connect()
         if sock is not None:
             edge.send_request(sock)
@@ -175,13 +175,13 @@
         edge.kill()
         edge.start()
         edge.ready()
-        edge.shim(seed=7, faults=[fault("connect", name, 1.0, first=2)])
+        edge.set_fault_plan(seed=7, faults=[fault("connect", name, 1.0, first=2)])
         sock = edge.connect()
         assert sock is not None
         edge.calls.clear()
         record, _ = edge.send_request(sock)
         sock.close()
-        edge.shim()
+        edge.set_fault_plan()
         assert (record.status, len(edge.calls)) == (200, 1), (name, edge.calls)
         edge.signal(signal.SIGUSR1)
         until = time.monotonic() + 3.0
@@ -207,10 +207,10 @@
     while not edge.calls:
         assert time.monotonic() < until
         time.sleep(0.01)
-    edge.shim(seed=7, faults=[fault("recv", "ETIMEDOUT", 1.0, connected=False)])
+    edge.set_fault_plan(seed=7, faults=[fault("recv", "ETIMEDOUT", 1.0, connected=False)])
     sock.sendall(b"X")  # wakes its thread, whose next read fails
     time.sleep(1.0)
-    edge.shim()
+    edge.set_fault_plan()
     sock.close()
     assert len(edge.calls) == 1, "no retry for a client whose connection is broken"
 
@@ -232,11 +232,11 @@
     """An exclusion takes effect immediately, is reported as not saved, and is saved once writes succeed."""
     edge.start()
     edge.ready()
-    assert edge.staff("/api/exclude?name=s-1", "POST")[0] == 200
+    assert edge.call_admin("/api/exclude?name=s-1", "POST")[0] == 200
     for name in ("ENOSPC", "EIO"):
-        edge.shim(seed=7, faults=[fault("fsync", name, 1.0), fault("pwrite", name, 1.0)])
-        assert edge.staff("/api/exclude?name=s-2", "POST")[0] == 500
-        edge.shim()
+        edge.set_fault_plan(seed=7, faults=[fault("fsync", name, 1.0), fault("pwrite", name, 1.0)])
+        assert edge.call_admin("/api/exclude?name=s-2", "POST")[0] == 500
+        edge.set_fault_plan()
         until = time.monotonic() + 3.0
         while b"s-2" not in next(edge.tmp.glob("lupintack-*/bans.json")).read_bytes():
             assert time.monotonic() < until, edge.log()
@@ -244,8 +244,8 @@
         edge.kill()
         edge.start()
         edge.ready()
-        assert edge.staff("/api/include?name=s-2", "POST")[0] == 200
-        assert edge.staff("/api/exclude?name=s-1", "POST")[1].startswith("out already")
+        assert edge.call_admin("/api/include?name=s-2", "POST")[0] == 200
+        assert edge.call_admin("/api/exclude?name=s-1", "POST")[1].startswith("out already")
 
 
 FOLDER_CALLS = {
@@ -261,7 +261,7 @@
     """Exclude s-1 by an operator's request, and kill the process."""
     edge.start()
     edge.ready()
-    assert edge.staff("/api/exclude?name=s-1", "POST")[0] == 200
+    assert edge.call_admin("/api/exclude?name=s-1", "POST")[0] == 200
     edge.kill()
 
 
@@ -280,12 +280,12 @@
     possible.
     """
     kill_after_exclusion(edge)
-    edge.shim(seed=7, faults=FOLDER_CALLS[failing_calls])
+    edge.set_fault_plan(seed=7, faults=FOLDER_CALLS[failing_calls])
     edge.start()
     edge.ready()
     assert_ban_applies(edge, 1.0)
-    edge.staff("/api/exclude?name=s-2", "POST")
-    edge.shim()
+    edge.call_admin("/api/exclude?name=s-2", "POST")
+    edge.set_fault_plan()
     until = time.monotonic() + 5.0
     while b"s-2" not in next(edge.tmp.glob("lupintack-*/bans.json")).read_bytes():
         assert time.monotonic() < until, edge.log()
@@ -297,11 +297,11 @@
 def test_unreadable_bans_delay_start(edge: Edge) -> None:
     """Guards against a start that goes on without bans after 0.5 s, so that excluded members get requests."""
     kill_after_exclusion(edge)
-    edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
+    edge.set_fault_plan(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
     time.sleep(2.0)
-    assert not edge.alive()
-    edge.shim()
+    assert not edge.is_alive()
+    edge.set_fault_plan()
     edge.ready()
     assert_ban_applies(edge, 1.0)
 
@@ -309,11 +309,11 @@
 def test_permanently_unreadable_bans_do_not_prevent_start(edge: Edge) -> None:
     """Bans apply once they can be read; until then the log reports that they are unreadable."""
     kill_after_exclusion(edge)
-    edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
+    edge.set_fault_plan(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
     assert edge.ready() < 10.0
     assert "saved bans unreadable" in edge.log()
-    edge.shim()
+    edge.set_fault_plan()
     time.sleep(1.0)
     assert_ban_applies(edge, 0.5)
 
@@ -321,9 +321,9 @@
 def test_sigterm_ends_start_that_waits_for_bans(edge: Edge) -> None:
     """No connection was accepted, and no request may be served without the bans."""
     kill_after_exclusion(edge)
-    edge.shim(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
+    edge.set_fault_plan(seed=7, faults=[fault("open", "EIO", 1.0, path="/bans")])
     edge.start()
-    until = time.monotonic() + START_PATIENCE_S
+    until = time.monotonic() + START_TIMEOUT_S
     while "saved bans unreadable" not in edge.log():
         assert time.monotonic() < until
         time.sleep(0.02)
@@ -354,7 +354,7 @@
     plan_path = edge.tmp / "upgrade.json"
     plan_path.write_text(json.dumps({"seed": 7, "faults": UPGRADE_CALLS[failing_calls]}))
     edge.start({"EDGE_ADMIN_ADDR": f"127.0.0.1:{free_ports(1)[0]}", "LUPINTACK_SHIM": str(plan_path)})
-    until = time.monotonic() + START_PATIENCE_S
+    until = time.monotonic() + START_TIMEOUT_S
     while edge.log().count("event=ready") < 2:
         assert edge.process is not None and edge.process.poll() is None, edge.log()
         assert time.monotonic() < until, edge.log()
@@ -365,7 +365,7 @@
 
 def test_unwritten_state_is_written_at_next_check(edge: Edge) -> None:
     """Guards against one write per change: other processes then saw a serving one as starting forever."""
-    edge.shim(seed=7, faults=[fault("pwrite", "ENOSPC", 1.0, first=6)])
+    edge.set_fault_plan(seed=7, faults=[fault("pwrite", "ENOSPC", 1.0, first=6)])
     edge.start()
     edge.ready()
     until = time.monotonic() + 3.0
@@ -385,10 +385,10 @@
     """Guards against a start that fails with `can't listen` on a transient error: any error of socket,
     setsockopt, bind or listen was taken for a port in use by another process.
     """
-    edge.shim(seed=7, faults=[fault(name, error, 1.0, first=6)])
+    edge.set_fault_plan(seed=7, faults=[fault(name, error, 1.0, first=6)])
     edge.start()
     edge.ready()
-    assert edge.staff("/api/ready")[0] == 200
+    assert edge.call_admin("/api/ready")[0] == 200
     sock = edge.connect()
     assert sock is not None
     record, _ = edge.send_request(sock)
@@ -399,10 +399,10 @@
 @pytest.mark.parametrize("error", ["ENFILE", "EIO", "EINTR"])
 def test_configuration_read_is_retried(edge: Edge, error: str) -> None:
     """Guards against a start that ends, and a SIGHUP that is never applied, after one failed open."""
-    edge.shim(seed=7, faults=[fault("open", error, 1.0, path="config.json", first=6)])
+    edge.set_fault_plan(seed=7, faults=[fault("open", error, 1.0, path="config.json", first=6)])
     edge.start()
     edge.ready()
-    edge.shim(seed=8, faults=[fault("open", error, 1.0, path="config.json", first=12)])
+    edge.set_fault_plan(seed=8, faults=[fault("open", error, 1.0, path="config.json", first=12)])
     edge.write(board=edge.fleet.discovery_server.address)
     edge.signal(signal.SIGHUP)
     until = time.monotonic() + 5.0
@@ -416,7 +416,7 @@
     with socket.create_server(("127.0.0.1", edge.port)):
         edge.start()
         assert edge.process is not None
-        assert edge.process.wait(START_PATIENCE_S) == 2
+        assert edge.process.wait(START_TIMEOUT_S) == 2
     assert f"can't listen at 127.0.0.1:{edge.port}: Address already in use" in edge.log()
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -98,7 +98,7 @@
     edge.ready()
     edge.load(6, gap_s=0.01, items=5)
     time.sleep(0.5)
-    edge.shim(step_s=step_s)
+    edge.set_fault_plan(step_s=step_s)
     time.sleep(0.3)
     edge.fleet.discovery_server.purge(asset=f"{1:016x}")
     published_s = time.monotonic()
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_wrong_wall_clock_at_start_loses_no_response_and_no_purge(edge: Edge, step_s: float) -> None:
-    edge.shim(step_s=step_s)
+    edge.set_fault_plan(step_s=step_s)
     edge.start()
     edge.ready()
     edge.load(6, gap_s=0.01, items=5)
@@ -282,10 +282,10 @@
     edge.proxy.fault = Fault.DELAYED
     edge.start()
     until = time.monotonic() + 5.0
-    while edge.staff("/api/ready")[0] != 503:
+    while edge.call_admin("/api/ready")[0] != 503:
         assert time.monotonic() < until, edge.log()
         time.sleep(0.02)
-    assert edge.staff("/api/ready")[1] == "starting; list not proved by discovery"
+    assert edge.call_admin("/api/ready")[1] == "starting; list not proved by discovery"
     assert edge.connect() is None, "the kernel must not accept connections for it"
     began = time.monotonic()
     edge.signal(signal.SIGTERM)
@@ -366,7 +366,7 @@
 def test_repeated_sighup_during_start_changes_discovery_address(edge: Edge) -> None:
     edge.proxy.fault = Fault.DELAYED
     edge.start()
-    while edge.staff("/api/ready")[0] != 503:
+    while edge.call_admin("/api/ready")[0] != 503:
         time.sleep(0.02)
     for address in ("127.0.0.1:1", edge.proxy.address, edge.fleet.discovery_server.address):
         edge.write(board=address)
@@ -374,7 +374,7 @@
         time.sleep(0.05)
     ready_after_s = edge.ready()
     assert ready_after_s < 3.5, edge.log()
-    assert edge.staff("/api/ready") == (200, "ready")
+    assert edge.call_admin("/api/ready") == (200, "ready")
 
 
 def test_without_discovery_origin_serves_until_list_is_proved(edge: Edge) -> None:
@@ -382,14 +382,17 @@
     edge.start()
     ready_after_s = edge.ready()
     assert ready_after_s < 6.0
-    assert edge.staff("/api/ready") == (200, "ready; list not proved by discovery; the origin alone serves")
+    assert edge.call_admin("/api/ready") == (
+        200,
+        "ready; list not proved by discovery; the origin alone serves",
+    )
     edge.load(4)
     time.sleep(0.5)
     assert {call.member for call in edge.calls} == {"o-1"}
     edge.publish_health("s-1", "Terminating")
     edge.proxy.back()
     until = time.monotonic() + 4.0
-    while edge.staff("/api/ready")[1] != "ready":
+    while edge.call_admin("/api/ready")[1] != "ready":
         assert time.monotonic() < until, edge.log()
         time.sleep(0.02)
     time.sleep(0.5)
@@ -408,13 +411,13 @@
     edge.admin = ("127.0.0.1", free_ports(1)[0])
     edge.start()
     time.sleep(5.0)
-    assert edge.staff("/api/ready") == (503, "starting; list not proved by discovery")
+    assert edge.call_admin("/api/ready") == (503, "starting; list not proved by discovery")
     edge.load(4)
     time.sleep(0.5)
     assert {call.member for call in edge.calls} != {"o-1"}, "the older process still serves, by its list"
     edge.proxy.back()
     until = time.monotonic() + 4.0
-    while edge.staff("/api/ready") != (200, "ready"):
+    while edge.call_admin("/api/ready") != (200, "ready"):
         assert time.monotonic() < until, edge.log()
         time.sleep(0.02)
     assert older is not None
@@ -564,7 +567,7 @@
     edge.load(6, gap_s=0.02, wait_ms=5000)
     time.sleep(0.5)
     edge.fleet.terms.delay_s = lambda name, cls: 30.0
-    edge.shim(seed=7, faults=[{"call": "open", "errno": "EIO", "part": 1.0, "path": "config.json"}])
+    edge.set_fault_plan(seed=7, faults=[{"call": "open", "errno": "EIO", "part": 1.0, "path": "config.json"}])
     assert edge.process is not None
     edge.signal(signal.SIGHUP)
     time.sleep(gap_s)
