--- a/lupintack/standins/discovery_server.py
+++ b/lupintack/standins/discovery_server.py
@@ -14,13 +14,14 @@
 class DiscoveryServer:
     """Sends events to each watcher, and once a second the last revision, which is all the protocol promises.
 
-    Revision 1 is in the configuration of the routers. `prompt`: the last revision is also sent to a new
-    watcher after the events that it missed. `prompt_if_current`: only to a new watcher that missed none.
+    Revision 1 is in the configuration of the routers. `sends_revision_on_watch`: the last revision is also
+    sent to a new watcher after the events that it missed. `sends_revision_if_current`: only to one that
+    missed none.
     """
 
-    def __init__(self, prompt: bool = True) -> None:
-        self.prompt = prompt
-        self.prompt_if_current = False
+    def __init__(self, sends_revision_on_watch: bool = True) -> None:
+        self.sends_revision_on_watch = sends_revision_on_watch
+        self.sends_revision_if_current = False
         self.lock = threading.Lock()
         self.events: list[tuple[int, bytes]] = []
         self.rev = 1
@@ -41,7 +42,9 @@
                     for rev, raw in self.events:
                         if rev > int(number):
                             sock.sendall(raw)
-                    if self.prompt or (self.prompt_if_current and int(number) == self.rev):
+                    if self.sends_revision_on_watch or (
+                        self.sends_revision_if_current and int(number) == self.rev
+                    ):
                         sock.sendall(b"%d\n" % self.rev)
                     self.watchers.append(sock)
                 reader.read()
@@ -76,7 +79,7 @@
             except OSError:
                 pass
 
-    def down(self) -> None:
+    def refuse_connections(self) -> None:
         """Refuse new connections and close the open ones."""
         host, _, port = self.address.partition(":")
         close(self.sock)
@@ -87,7 +90,7 @@
             for sock in self.watchers:
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def back(self) -> None:
+    def accept_connections(self) -> None:
         """Accept connections again; events published in the meantime are sent to new watchers."""
         address = self.sock.getsockname()
         self.sock.close()
--- a/lupintack/standins/edge.py
+++ b/lupintack/standins/edge.py
@@ -70,7 +70,7 @@
     ) -> None:
         self.tmp = tmp
         self.fleet = fleet or Fleet(settings=settings)
-        self.fleet.discovery_server.prompt = False
+        self.fleet.discovery_server.sends_revision_on_watch = False
         self.calls: list[Call] = []
         self.fleet.on_call = self.calls.append
         self.proxy = Proxy(self.fleet.discovery_server.address)
--- a/lupintack/standins/proxy.py
+++ b/lupintack/standins/proxy.py
@@ -90,7 +90,7 @@
         except OSError:
             pass
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Refuse connections and close the open ones; do nothing if they are refused already."""
         with self.lock:
             if self.refusing:
@@ -103,8 +103,8 @@
         self.sock.bind((host, int(port)))
         self.cut()
 
-    def back(self) -> None:
-        """Accept connections again after `refuse`."""
+    def accept_connections(self) -> None:
+        """Accept connections again after `refuse_connections`."""
         with self.lock:
             if self.closed or not self.refusing:
                 return
--- a/lupintack/standins/soak.py
+++ b/lupintack/standins/soak.py
@@ -162,8 +162,8 @@
             proxy.fault = {"held": Fault.DELAYED, "doubled": Fault.DOUBLED, "pieces": Fault.PIECES}[kind]
             self.call_later(duration_s, lambda: setattr(proxy, "fault", Fault.NONE))
         elif kind == "refused":
-            proxy.refuse()
-            self.call_later(duration_s, proxy.back)
+            proxy.refuse_connections()
+            self.call_later(duration_s, proxy.accept_connections)
         elif kind == "silent":
             proxy.silent = True
             proxy.cut()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,7 +38,7 @@
     once.
     """
     one = Edge(tmp_path, admin=True)
-    one.fleet.discovery_server.prompt = True
+    one.fleet.discovery_server.sends_revision_on_watch = True
     try:
         yield one
     finally:
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -50,8 +50,8 @@
 
 def refused(seconds: float) -> Callable[[Proxy], None]:
     def fault(proxy: Proxy) -> None:
-        proxy.refuse()
-        call_later(seconds, proxy.back)
+        proxy.refuse_connections()
+        call_later(seconds, proxy.accept_connections)
 
     return fault
 
@@ -95,7 +95,7 @@
     """Discovery sends its revision immediately to a watch that misses no event, which proves the list up to a
     second sooner.
     """
-    edge.fleet.discovery_server.prompt_if_current = True
+    edge.fleet.discovery_server.sends_revision_if_current = True
     for member in DRAINED:
         edge.publish_health(member, "Terminating")
     edge.start()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -50,7 +50,7 @@
     process, admin = site.start()
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
     down_s = time.monotonic()
-    site.fleet.discovery_server.down()
+    site.fleet.discovery_server.refuse_connections()
     idle: list[socket.socket] = []
     try:
         for n in range(3 * SOCKETS):  # some send nothing, some one request
@@ -75,7 +75,7 @@
         removed = "s-1"
         removal = line(removed, site.fleet.members[removed].address, "Gone", "box")
         site.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [removal]}})
-        site.fleet.discovery_server.back()
+        site.fleet.discovery_server.accept_connections()
         eventually(lambda: call(admin, "POST", f"/api/include?name={removed}")[0] == 404, NOTIFIED_S)
         assert [send_request(site.listen, n) for n in range(200, 230)] == [200] * 30
     finally:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -299,7 +299,7 @@
     answers.
     """
     fleet = Fleet()
-    fleet.discovery_server.prompt = False
+    fleet.discovery_server.sends_revision_on_watch = False
     http2 = {"enabled": True, "listen": "127.0.0.1:0", "cdni_listen": "127.0.0.1:0"}
     operator_settings = operator.parse({"http2": http2}, "operator.toml")
     conf = parse(fleet.configuration() | {"admin_addr": "127.0.0.1:0"}, {})
@@ -378,7 +378,7 @@
 
 
 def test_without_discovery_origin_serves_until_list_is_proved(edge: Edge) -> None:
-    edge.proxy.refuse()
+    edge.proxy.refuse_connections()
     edge.start()
     ready_after_s = edge.ready()
     assert ready_after_s < 6.0
@@ -390,7 +390,7 @@
     time.sleep(0.5)
     assert {call.member for call in edge.calls} == {"o-1"}
     edge.publish_health("s-1", "Terminating")
-    edge.proxy.back()
+    edge.proxy.accept_connections()
     until = time.monotonic() + 4.0
     while edge.call_admin("/api/ready")[1] != "ready":
         assert time.monotonic() < until, edge.log()
@@ -407,7 +407,7 @@
     edge.start()
     edge.ready()
     older = edge.process
-    edge.proxy.refuse()
+    edge.proxy.refuse_connections()
     edge.admin = ("127.0.0.1", free_ports(1)[0])
     edge.start()
     time.sleep(5.0)
@@ -415,7 +415,7 @@
     edge.load(4)
     time.sleep(0.5)
     assert {call.member for call in edge.calls} != {"o-1"}, "the older process still serves, by its list"
-    edge.proxy.back()
+    edge.proxy.accept_connections()
     until = time.monotonic() + 4.0
     while edge.call_admin("/api/ready") != (200, "ready"):
         assert time.monotonic() < until, edge.log()
@@ -432,12 +432,12 @@
     edge.ready()
     edge.load(4)
     time.sleep(0.3)
-    edge.proxy.refuse()
+    edge.proxy.refuse_connections()
     cut_off_s = time.monotonic()
     edge.publish_health("s-1", "Terminating")
     edge.publish_health("p-1", "Terminating")
     time.sleep(8.0)
-    edge.proxy.back()
+    edge.proxy.accept_connections()
     time.sleep(1.0)
     requests = edge.stop()
     late = edge.calls_to(["s-1", "p-1"], cut_off_s + 7.3)
