--- a/benchmarks/spending.py
+++ b/benchmarks/spending.py
@@ -63,7 +63,7 @@
         try:
             play.start()
             if on:
-                play.until(lambda: bool(divider(play)), 20.0, "one divides")
+                play.wait_until(lambda: bool(divider(play)), 20.0, "one divides")
                 time.sleep(3.0)
             load = Clients(play.listen, clients)
             time.sleep(2.0)
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -28,29 +28,29 @@
         others = names[:-1]
         try:
             routers.start()
-            found["cold start"].append(routers.agree(names))
+            found["cold start"].append(routers.wait_for_agreement(names))
             routers.kill([last])
-            found["killed: its port refuses"].append(routers.agree(others))
+            found["killed: its port refuses"].append(routers.wait_for_agreement(others))
             routers.launch(last)
-            found["started again"].append(routers.agree(names))
+            found["started again"].append(routers.wait_for_agreement(names))
             routers.pause([last])
-            found["paused for good"].append(routers.agree(others, 30.0))
+            found["paused for good"].append(routers.wait_for_agreement(others, 30.0))
             routers.resume([last])
-            found["and woken"].append(routers.agree(names))
+            found["and woken"].append(routers.wait_for_agreement(names))
             routers.switch.put(routers.switch.pairs([last], others), cut=True)
             began = time.monotonic()
             gone = lambda: all(routers.members(name) == set(others) for name in others)  # noqa: E731
-            routers.until(gone, 30.0, "the others have removed it")
+            routers.wait_until(gone, 30.0, "the others have removed it")
             found["heard by nobody, and hears"].append(time.monotonic() - began)
             routers.switch.heal()
-            found["and heard again"].append(routers.agree(names))
+            found["and heard again"].append(routers.wait_for_agreement(names))
             most = names[2:]
             routers.kill(most)
             for name in most:
                 routers.launch(name)
-            found["six killed and started again"].append(routers.agree(names, 30.0))
-            routers.term(last)
-            found["left"].append(routers.agree(others))
+            found["six killed and started again"].append(routers.wait_for_agreement(names, 30.0))
+            routers.terminate(last)
+            found["left"].append(routers.wait_for_agreement(others))
         finally:
             routers.close()
 
--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -53,7 +53,9 @@
 
     def until(self, text: str) -> None:
         """Wait until one allocates to the regions, and all is leased."""
-        self.routers.until(lambda: bool(self.book.fleet_allocator()) and self.all_leased(), PATIENCE_S, text)
+        self.routers.wait_until(
+            lambda: bool(self.book.fleet_allocator()) and self.all_leased(), PATIENCE_S, text
+        )
 
     def hold(self, seconds: float) -> None:
         """Let that time go by, and read what is told."""
@@ -81,7 +83,7 @@
         killed = self.book.region_allocator(region)
         self.book.kill(killed)
         allocates = self.book.region_allocator
-        self.routers.until(lambda: bool(allocates(region)), PATIENCE_S, "another one of its region")
+        self.routers.wait_until(lambda: bool(allocates(region)), PATIENCE_S, "another one of its region")
         self.stretch("a region's allocator killed")
         self.routers.launch(killed)
         self.until("all is leased after a kill")
--- a/lupintack/standins/processes.py
+++ b/lupintack/standins/processes.py
@@ -70,7 +70,7 @@
     def log(self, number: int) -> str:
         return (self.tmp / f"log{number}").read_text()
 
-    def says(self, number: int, text: str) -> None:
+    def wait_for_log(self, number: int, text: str) -> None:
         """Wait until the log of a process contains a text."""
         deadline_s = time.monotonic() + 5
         while text not in self.log(number):
--- a/lupintack/standins/routers.py
+++ b/lupintack/standins/routers.py
@@ -94,7 +94,11 @@
         for name in started:
             self.launch(name)
         for name in started:
-            self.until(lambda name=name: self.call(name, "/api/ready")[0] == 200, 15.0, f"{name} is ready")  # type: ignore[misc]
+            self.wait_until(
+                lambda name=name: self.call(name, "/api/ready")[0] == 200,  # type: ignore[misc]
+                15.0,
+                f"{name} is ready",
+            )
 
     def launch(self, name: str) -> None:
         """Start one process without waiting for it."""
@@ -127,7 +131,7 @@
             self.paused.discard(name)
             self.switch.dead(name)
 
-    def term(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         """Send SIGTERM and wait for the end of the process."""
         process = self.running.pop(name)
         process.terminate()
@@ -168,7 +172,7 @@
         """Return the names of the routers that a router counts as members."""
         return counted_routers(self.status(name))
 
-    def agree(self, expected: Iterable[str], patience: float = 15.0) -> float:
+    def wait_for_agreement(self, expected: Iterable[str], timeout_s: float = 15.0) -> float:
         """Wait until all running routers have these members in one settled view; return the seconds."""
         expected_names, started_s = set(expected), time.monotonic()
 
@@ -180,18 +184,18 @@
             )
             return is_one_view and all(counted_routers(status) == expected_names for status in statuses)
 
-        self.until(is_agreed, patience, f"all routers count {sorted(expected_names)}")
+        self.wait_until(is_agreed, timeout_s, f"all routers count {sorted(expected_names)}")
         return time.monotonic() - started_s
 
-    def until(self, what: Callable[[], bool], patience: float, text: str) -> None:
-        """Wait until a condition holds; raise AssertionError with `text` after `patience` seconds."""
-        deadline_s = time.monotonic() + patience
-        while not what():
+    def wait_until(self, condition: Callable[[], bool], timeout_s: float, description: str) -> None:
+        """Wait until a condition holds; raise AssertionError with the description after the timeout."""
+        deadline_s = time.monotonic() + timeout_s
+        while not condition():
             if time.monotonic() > deadline_s:
-                raise AssertionError(f"not within {patience} s: {text}; {self.view_lines()}")
+                raise AssertionError(f"not within {timeout_s} s: {description}; {self.describe_views()}")
             time.sleep(0.03)
 
-    def view_lines(self) -> list[str]:
+    def describe_views(self) -> list[str]:
         """Return a line on the view of each running router: its state, and the state of each other router."""
         lines = []
         for name in self.running:
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -104,7 +104,7 @@
     try:
         routers.start()
         recorder = LeaseRecorder(routers)
-        routers.until(
+        routers.wait_until(
             lambda: bool(recorder.allocator()) and recorder.leased_share() > 0.99,
             20.0,
             "all units are leased",
@@ -118,23 +118,29 @@
     with running_routers(tmp_path) as (routers, recorder):
         first = recorder.allocator()
         recorder.kill(first)
-        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another allocator")
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the killed router's units are leased")
+        routers.wait_until(lambda: recorder.allocator() not in ("", first), 20.0, "another allocator")
+        routers.wait_until(
+            lambda: recorder.leased_share() > 0.99, 20.0, "the killed router's units are leased"
+        )
         routers.launch(first)
         second = recorder.allocator()
         routers.pause([second])
-        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third allocator")
+        routers.wait_until(lambda: recorder.allocator() not in ("", second), 20.0, "a third allocator")
         routers.resume([second])
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the paused router has a lease again")
+        routers.wait_until(
+            lambda: recorder.leased_share() > 0.99, 20.0, "the paused router has a lease again"
+        )
         third = recorder.allocator()
         other_routers = [name for name in routers.names if name != third]
         routers.switch.split([third], other_routers)
-        routers.until(lambda: recorder.allocator() not in ("", third), 20.0, "an allocator in the majority")
-        routers.until(
+        routers.wait_until(
+            lambda: recorder.allocator() not in ("", third), 20.0, "an allocator in the majority"
+        )
+        routers.wait_until(
             lambda: recorder.statuses[third]["lease_ends_ms"] == 0, 20.0, "the router cut off has no lease"
         )
         routers.switch.heal()
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "all routers have leases again")
+        routers.wait_until(lambda: recorder.leased_share() > 0.99, 20.0, "all routers have leases again")
         assert not [name for name in routers.names if "Traceback" in routers.log(name)]
         leasable = [row["whole"] - 3 * row["floor"] for row in recorder.statuses[routers.names[0]]["budgets"]]
         assert leasable[0] == TOTAL_UNITS - 3 * 33
@@ -150,8 +156,10 @@
         assert [row["name"] for row in status["budgets"]] == ["fills", "probes"]
         text_result = CliRunner().invoke(main, ["fleet", "budgets", "--admin", admin])
         assert text_result.exit_code == 0 and f"{recorder.allocator()} divides, epoch" in text_result.output
-        routers.term("n0")
-        routers.until(lambda: recorder.leased_share() > 0.99, 20.0, "the released units are leased again")
+        routers.terminate("n0")
+        routers.wait_until(
+            lambda: recorder.leased_share() > 0.99, 20.0, "the released units are leased again"
+        )
 
 
 def make_service(folder: Path, sent: list[Any]) -> BudgetService:
--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -179,7 +179,7 @@
             threading.Event().wait(0.01)
         load.stop()
         _, admin = processes.start()
-        processes.says(1, 'event="handoff received"')
+        processes.wait_for_log(1, 'event="handoff received"')
         line = next(text for text in processes.log(1).splitlines() if 'event="handoff received"' in text)
         assert "learned=true" in line and "fault=none" in line and "copies=50" in line, line
         old.terminate()
@@ -239,10 +239,10 @@
         load.stop()
         old.send_signal(signal.SIGSTOP)
         processes.start(wait=False)
-        processes.says(1, "list is current")
+        processes.wait_for_log(1, "list is current")
         time.sleep(1.0)
         old.send_signal(signal.SIGCONT)
-        processes.says(1, 'event="handoff received"')
+        processes.wait_for_log(1, 'event="handoff received"')
         line = next(text for text in processes.log(1).splitlines() if 'event="handoff received"' in text)
         assert "learned=true" in line and "fault=none" in line, line
     finally:
@@ -265,9 +265,9 @@
         old, admin = processes.start()
         old.send_signal(signal.SIGSTOP)
         new, _ = processes.start(wait=False)
-        processes.says(1, "list is current")
+        processes.wait_for_log(1, "list is current")
         new.send_signal(signal.SIGTERM)
-        processes.says(1, "stopped before it served")
+        processes.wait_for_log(1, "stopped before it served")
         assert new.wait(10) == 0
         old.send_signal(signal.SIGCONT)
         assert call(admin, "GET", "/api/ready") == (200, "ready"), "the old process still serves"
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -32,31 +32,33 @@
     try:
         routers.start()
         recorder = LeaseRecorder(routers)
-        routers.until(
+        routers.wait_until(
             lambda: bool(recorder.allocator()) and recorder.leased_share() > 0.99,
             20.0,
             "all units are leased",
         )
         clients = Clients(routers.listen, CLIENTS_PER_ROUTER)
-        routers.until(lambda: origin_level.out > ORIGIN_FILLS / 2, 20.0, "the origin is in use")
+        routers.wait_until(lambda: origin_level.out > ORIGIN_FILLS / 2, 20.0, "the origin is in use")
         started_s = time.monotonic()
-        routers.until(
+        routers.wait_until(
             lambda: origin_level.mean(started_s, time.monotonic()) > ORIGIN_FILLS * 0.5,
             20.0,
             "most of the budget is used",
         )
         first = recorder.allocator()
         recorder.kill(first)
-        routers.until(lambda: recorder.allocator() not in ("", first), 20.0, "another allocator")
-        routers.until(lambda: recorder.leased_share() > 0.8, 20.0, "the killed router's units are leased")
+        routers.wait_until(lambda: recorder.allocator() not in ("", first), 20.0, "another allocator")
+        routers.wait_until(
+            lambda: recorder.leased_share() > 0.8, 20.0, "the killed router's units are leased"
+        )
         routers.launch(first)
         second = recorder.allocator()
         routers.pause([second])
         paused_s = time.monotonic()
-        routers.until(lambda: recorder.allocator() not in ("", second), 20.0, "a third allocator")
+        routers.wait_until(lambda: recorder.allocator() not in ("", second), 20.0, "a third allocator")
         routers.resume([second])
         paused_s = time.monotonic() - paused_s
-        routers.until(lambda: recorder.leased_share() > 0.8, 20.0, "the paused router has a lease again")
+        routers.wait_until(lambda: recorder.leased_share() > 0.8, 20.0, "the paused router has a lease again")
         end_counts = clients.stop()
         assert 0 < origin_level.most() <= ORIGIN_FILLS
         assert end_counts["200"] > 100 and end_counts["503"] > 100
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -30,7 +30,7 @@
     fleet = Routers(tmp, count, **options)
     try:
         fleet.start()
-        fleet.agree(fleet.names)
+        fleet.wait_for_agreement(fleet.names)
         yield fleet
     finally:
         fleet.close()
@@ -82,9 +82,9 @@
         fleet.switch.pairs(fleet.names, fleet.names), loss=0.1, doubled=0.2, disorder_s=0.1, spoilt=0.05
     )
     previous = fleet.switch.passed["carried"], fleet.switch.passed["spoilt"]
-    fleet.until(lambda: fleet.switch.passed["spoilt"] - previous[1] > 40, 15.0, "corrupted datagrams")
+    fleet.wait_until(lambda: fleet.switch.passed["spoilt"] - previous[1] > 40, 15.0, "corrupted datagrams")
     fleet.switch.heal()
-    fleet.agree(fleet.names)
+    fleet.wait_for_agreement(fleet.names)
     assert_no_removals(fleet, before)
     dropped = [fleet.status(name)["dropped"] for name in fleet.names]
     assert any("foreign" in counts for counts in dropped) and any("replayed" in counts for counts in dropped)
@@ -95,9 +95,9 @@
     ring = list(zip(fleet.names, [*fleet.names[1:], fleet.names[0]], strict=True))
     fleet.switch.put([*ring, ("n1", "n4"), ("n4", "n1")], cut=True)
     lost = fleet.switch.passed["lost"]
-    fleet.until(lambda: fleet.switch.passed["lost"] - lost > 60, 15.0, "lost datagrams")
+    fleet.wait_until(lambda: fleet.switch.passed["lost"] - lost > 60, 15.0, "lost datagrams")
     fleet.switch.heal()
-    fleet.agree(fleet.names)
+    fleet.wait_for_agreement(fleet.names)
     assert_no_removals(fleet, before)
 
 
@@ -106,13 +106,13 @@
     fleet.pause(["n2"])
     time.sleep(0.8)  # half of the failure timeout
     fleet.resume(["n2"])
-    fleet.agree(fleet.names)
+    fleet.wait_for_agreement(fleet.names)
     assert_no_removals(fleet, before)
     others = [name for name in fleet.names if name != "n2"]
     fleet.pause(["n2"])
-    fleet.agree(others)
+    fleet.wait_for_agreement(others)
     fleet.resume(["n2"])
-    fleet.agree(fleet.names)
+    fleet.wait_for_agreement(fleet.names)
     after = removal_counts(fleet)
     assert {name: after[name] - before[name] for name in others} == dict.fromkeys(others, 1)
     assert after["n2"] == before["n2"]  # the resumed router removed no other
@@ -123,22 +123,24 @@
     rest = [name for name in fleet.names if name not in isolated]
     before, changes = removal_counts(fleet), {name: fleet.status(name)["changes"] for name in rest}
     fleet.switch.split(isolated, rest)
-    fleet.until(
+    fleet.wait_until(
         lambda: all(fleet.members(name) == set(rest) for name in rest), 15.0, "the isolated are removed"
     )
-    fleet.until(
+    fleet.wait_until(
         lambda: all(fleet.status(name)["minority"] for name in isolated), 15.0, "the minority is detected"
     )
     assert all(fleet.members(name) == set(fleet.names) for name in isolated)
-    fleet.until(lambda: all(fleet.status(n)["changes"] == changes[n] + 1 for n in rest), 5.0, "one change")
+    fleet.wait_until(
+        lambda: all(fleet.status(n)["changes"] == changes[n] + 1 for n in rest), 5.0, "one change"
+    )
     offsets = {name: len(fleet.log(name)) for name in rest}
     fleet.switch.heal()
-    fleet.agree(fleet.names)
+    fleet.wait_for_agreement(fleet.names)
 
     def has_readded(name: str) -> bool:
         return set().union(*(names for _, names in join_events(fleet, name, offsets[name]))) == set(isolated)
 
-    fleet.until(lambda: all(has_readded(name) for name in rest), 5.0, "the isolated are members again")
+    fleet.wait_until(lambda: all(has_readded(name) for name in rest), 5.0, "the isolated are members again")
     for name in rest:
         # One change if all join within the quiet time of one another, which a busy machine may prevent. Two
         # changes are never closer than the quiet time.
@@ -162,16 +164,16 @@
         load = Load(("127.0.0.1", fleet.listen["n0"]), 4)
         killed = fleet.names[2:]
         fleet.kill(killed)
-        fleet.agree(["n0", "n1"])
+        fleet.wait_for_agreement(["n0", "n1"])
         fleet.start(killed)
-        fleet.agree(fleet.names)
+        fleet.wait_for_agreement(fleet.names)
         # After SIGTERM, as in a rolling restart, the state is "left" and not "failed".
-        fleet.term("n4")
-        fleet.agree([name for name in fleet.names if name != "n4"])
+        fleet.terminate("n4")
+        fleet.wait_for_agreement([name for name in fleet.names if name != "n4"])
         states = {router["name"]: router["state"] for router in fleet.status("n0")["routers"]}
         assert states["n4"] == "left"
         fleet.start(["n4"])
-        fleet.agree(fleet.names)
+        fleet.wait_for_agreement(fleet.names)
         outcomes = load.stop()
         assert set(outcomes) <= {"200", "503"} and outcomes["200"] > 50, outcomes
         assert outcomes.get("503", 0) * 20 < outcomes["200"], outcomes
@@ -191,9 +193,11 @@
         old_admin, fleet.admin["n1"] = fleet.admin["n1"], free_ports(1)[0]
         fleet.launch("n1")
         try:
-            fleet.until(lambda: fleet.call("n1", "/api/ready")[0] == 200, 10.0, "the new process is ready")
+            fleet.wait_until(
+                lambda: fleet.call("n1", "/api/ready")[0] == 200, 10.0, "the new process is ready"
+            )
             # It contacts a random one of two seeds after 0, 1, 3, 7, 15 s and so on; n2 is unreachable.
-            fleet.until(lambda: "n1" in fleet.members("n1"), 60.0, "the new process joins")
+            fleet.wait_until(lambda: "n1" in fleet.members("n1"), 60.0, "the new process joins")
             own_status = next(router for router in fleet.status("n1")["routers"] if router["name"] == "n1")
             host, _, port = own_status["address"].partition(":")
             fleet.switch.alive("n1", (host, int(port)))
@@ -202,13 +206,13 @@
                 starts = {router["name"]: router["start"] for router in fleet.status("n0").get("routers", [])}
                 return bool(starts.get("n1", 0) > old_start)
 
-            fleet.until(is_superseded, 10.0, "n0 has a record of the new process")
+            fleet.wait_until(is_superseded, 10.0, "n0 has a record of the new process")
             fleet.switch.heal()
             partition_ms = (time.monotonic() - partitioned_at) * 1000
-            fleet.until(lambda: fleet.members("n2") == set(fleet.names), 10.0, "n2 counts all routers")
+            fleet.wait_until(lambda: fleet.members("n2") == set(fleet.names), 10.0, "n2 counts all routers")
             old_process.terminate()
             old_process.wait(15)
-            fleet.agree(fleet.names)
+            fleet.wait_for_agreement(fleet.names)
             removed = set(removed_names(fleet, "n0"))
             assert removed <= ({"n2"} if partition_ms >= FAST["fail_ms"] else set()), (removed, partition_ms)
             assert old_admin != fleet.admin["n1"]
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -421,11 +421,11 @@
             own_shares = (recorder.last_leased_share(OWN, region) for region in PROCESS_TABLE["regions"])
             return recorder.last_leased_share(FILLS) > 0.99 and all(share > 0.99 for share in own_shares)
 
-        routers.until(
+        routers.wait_until(
             lambda: bool(recorder.fleet_allocator()) and all_leased(), PATIENCE_S, "all units are leased"
         )
         clients = store.Clients(routers.listen, CLIENTS)
-        routers.until(lambda: origin_level.out > STORE_FILLS / 2, PATIENCE_S, "the origin is in use")
+        routers.wait_until(lambda: origin_level.out > STORE_FILLS / 2, PATIENCE_S, "the origin is in use")
 
         def wait_for_name(find_name: Callable[[], str], text: str) -> str:
             """Return the name when there is one; on a busy machine a term may expire between two samples."""
@@ -435,7 +435,7 @@
                 names.append(find_name())
                 return bool(names[-1])
 
-            routers.until(is_known, PATIENCE_S, text)
+            routers.wait_until(is_known, PATIENCE_S, text)
             return names[-1]
 
         queried = wait_for_name(lambda: recorder.region_allocator("region1"), "region1 has an allocator")
@@ -449,11 +449,11 @@
             lambda: recorder.region_allocator(region), "the region has an allocator to kill"
         )
         recorder.kill(killed)
-        routers.until(
+        routers.wait_until(
             lambda: bool(recorder.region_allocator(region)), PATIENCE_S, "the region has another allocator"
         )
         routers.launch(killed)
-        routers.until(
+        routers.wait_until(
             lambda: all_leased() and killed in recorder.statuses,
             PATIENCE_S,
             "all units are leased after a kill",
@@ -462,18 +462,18 @@
         paused = wait_for_name(recorder.fleet_allocator, "the fleet has an allocator to pause")
         routers.pause([paused])
         paused_s = time.monotonic()
-        routers.until(
+        routers.wait_until(
             lambda: recorder.fleet_allocator() not in ("", paused),
             PATIENCE_S,
             "the fleet has another allocator",
         )
         routers.resume([paused])
         paused_s = time.monotonic() - paused_s
-        routers.until(all_leased, PATIENCE_S, "all units are leased after a pause")
+        routers.wait_until(all_leased, PATIENCE_S, "all units are leased after a pause")
 
         cut_off_routers = [name for name in routers.names if REGION_OF[name] == "region2"]
         routers.switch.split(cut_off_routers, [name for name in routers.names if name not in cut_off_routers])
-        routers.until(
+        routers.wait_until(
             lambda: cut_off(recorder, cut_off_routers), PATIENCE_S, "the region has no parent lease"
         )
 
@@ -482,11 +482,11 @@
             recorder.sample()
             return recorder.last_leased_share(OWN, "region2") > 0.99
 
-        routers.until(own_budget_leased, PATIENCE_S, "the region cut off leases its own budget")
+        routers.wait_until(own_budget_leased, PATIENCE_S, "the region cut off leases its own budget")
         leased = sum(recorder.statuses[name]["budgets"][FILLS]["lease"] for name in cut_off_routers)
         assert leased <= region_plan("n2", "site2", PROCESS_TABLE).region_pool[FILLS]
         routers.switch.heal()
-        routers.until(all_leased, PATIENCE_S, "all units are leased after a partition")
+        routers.wait_until(all_leased, PATIENCE_S, "all units are leased after a partition")
         end_counts = clients.stop()
 
         won = [
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -63,7 +63,7 @@
     for kill_during_start in (True, False):
         new, _ = processes.start(wait=not kill_during_start)
         if not kill_during_start:
-            processes.says(0, "side=old")
+            processes.wait_for_log(0, "side=old")
         new.kill()
         new.wait()
         load = Load(processes.listen, 4)
@@ -72,7 +72,7 @@
         assert set(outcomes) == {"200"}, outcomes
         assert call(admin, "GET", "/api/ready") == (200, "ready")
     assert old.poll() is None
-    processes.says(0, "side=alone")  # and uses the whole limits again
+    processes.wait_for_log(0, "side=alone")  # and uses the whole limits again
 
 
 def test_new_process_is_ready_while_the_old_one_is_evacuated(processes: Processes) -> None:
@@ -114,7 +114,7 @@
     processes.start()
     first.send_signal(signal.SIGTERM)
     assert first.wait(10) == 0
-    processes.says(2, "listener index changed")
+    processes.wait_for_log(2, "listener index changed")
     second.send_signal(signal.SIGSTOP)
     try:
         for n in range(40):
