--- a/benchmarks/spending.py
+++ b/benchmarks/spending.py
@@ -78,9 +78,9 @@
             others = [name for name in play.names if name != third]
             stretch(
                 "divider heard by nobody",
-                lambda: play.switch.put(play.switch.pairs([third], others), cut=True),
+                lambda: play.switch.set_rule(play.switch.pairs([third], others), cut=True),
             )
-            stretch("and again", play.switch.heal)
+            stretch("and again", play.switch.clear_rules)
             some = play.names[2:]
             stretch(
                 "six of eight killed, started",
--- a/benchmarks/switch.py
+++ b/benchmarks/switch.py
@@ -37,12 +37,12 @@
             found["paused for good"].append(routers.wait_for_agreement(others, 30.0))
             routers.resume([last])
             found["and woken"].append(routers.wait_for_agreement(names))
-            routers.switch.put(routers.switch.pairs([last], others), cut=True)
+            routers.switch.set_rule(routers.switch.pairs([last], others), cut=True)
             began = time.monotonic()
             gone = lambda: all(routers.members(name) == set(others) for name in others)  # noqa: E731
             routers.wait_until(gone, 30.0, "the others have removed it")
             found["heard by nobody, and hears"].append(time.monotonic() - began)
-            routers.switch.heal()
+            routers.switch.clear_rules()
             found["and heard again"].append(routers.wait_for_agreement(names))
             most = names[2:]
             routers.kill(most)
--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -99,7 +99,7 @@
         self.routers.switch.split(away, [name for name in self.routers.names if name not in away])
         self.hold(cut_s)
         self.stretch("a region cut off")
-        self.routers.switch.heal()
+        self.routers.switch.clear_rules()
         self.until("all is leased after a cut")
         self.stretch("and back")
 
--- a/lupintack/standins/routers.py
+++ b/lupintack/standins/routers.py
@@ -68,7 +68,7 @@
         self.tables = tables or (lambda name: {})
         self.fleet = fleet or Fleet()
         self.switch = Switch(self.names)
-        ports = self.switch.spare
+        ports = self.switch.spare_ports
         self.listen = dict(zip(self.names, ports[:count], strict=True))
         self.admin = dict(zip(self.names, ports[count:], strict=True))
         self.running: dict[str, subprocess.Popen[bytes]] = {}
@@ -76,12 +76,12 @@
 
     def write_operator_file(self, name: str) -> Path:
         """Write the operator file of a router and return its path."""
-        reach = self.switch.reach(name)
-        seeds = [reach[other] for other in self.names[:3] if other != name]
-        host, port = self.switch.real[name]
+        peer_addresses = self.switch.addresses_for(name)
+        seeds = [peer_addresses[other] for other in self.names[:3] if other != name]
+        host, port = self.switch.addresses[name]
         tables = {"enabled": True, "listen": f"{host}:{port}", "fleet": "test", "secret": "s", "seeds": seeds}
         tables |= {"site": self.sites[name], **self.terms}
-        text = f"[membership]\n{toml_table(tables)}\n[membership.reach]\n{toml_table(reach)}\n"
+        text = f"[membership]\n{toml_table(tables)}\n[membership.reach]\n{toml_table(peer_addresses)}\n"
         for title, values in self.tables(name).items():
             text += f"[{title}]\n{toml_table(values)}\n"
         file = self.tmp / f"{name}.toml"
@@ -118,7 +118,7 @@
                 [sys.executable, *self.arguments], env=env, cwd=ROOT, stdout=log, stderr=log
             )
         self.running[name] = process
-        self.switch.alive(name)
+        self.switch.open_ports(name)
 
     # Faults
 
@@ -129,14 +129,14 @@
             process.kill()
             process.wait()
             self.paused.discard(name)
-            self.switch.dead(name)
+            self.switch.close_ports(name)
 
     def terminate(self, name: str) -> None:
         """Send SIGTERM and wait for the end of the process."""
         process = self.running.pop(name)
         process.terminate()
         process.wait(15)
-        self.switch.dead(name)
+        self.switch.close_ports(name)
 
     def pause(self, names: Iterable[str]) -> None:
         for name in names:
--- a/lupintack/standins/switch.py
+++ b/lupintack/standins/switch.py
@@ -30,9 +30,9 @@
     cut: bool = False
     loss: float = 0.0
     delay_s: float = 0.0
-    doubled: float = 0.0
-    disorder_s: float = 0.0  # upper bound of a random additional delay
-    spoilt: float = 0.0
+    duplicated: float = 0.0
+    max_jitter_s: float = 0.0  # upper bound of a random additional delay
+    corrupted: float = 0.0
 
 
 class Switch:
@@ -46,7 +46,7 @@
         self.datagrams: dict[socket.socket, Pair] = {}
         self.listeners: dict[Pair, socket.socket] = {}
         self.closed_ports: dict[Pair, socket.socket] = {}  # bound but not listening: connections are refused
-        self.passed: Counter[str] = Counter()
+        self.datagram_counts: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()  # by sender
         self.lock = threading.Lock()
         self.selector = selectors.DefaultSelector()
@@ -66,11 +66,11 @@
             self.selector.register(sock, selectors.EVENT_READ)
         # Chosen after the ports of the switch are bound, as those could otherwise be among these.
         ports = free_ports(3 * len(self.names))
-        self.real = {name: ("127.0.0.1", port) for name, port in zip(self.names, ports, strict=False)}
-        self.spare = ports[len(self.names) :]  # two more for each router, not used here
+        self.addresses = {name: ("127.0.0.1", port) for name, port in zip(self.names, ports, strict=False)}
+        self.spare_ports = ports[len(self.names) :]  # two more for each router, not used here
         threading.Thread(target=self.run, name="switch", daemon=True).start()
 
-    def reach(self, name: str) -> dict[str, str]:
+    def addresses_for(self, name: str) -> dict[str, str]:
         """Return the addresses of the other routers, as one router is configured with them."""
         return {other: f"127.0.0.1:{self.ports[name, other]}" for other in self.names if other != name}
 
@@ -81,13 +81,13 @@
 
     # Faults
 
-    def put(self, pairs: Iterable[Pair], **rule: float) -> None:
+    def set_rule(self, pairs: Iterable[Pair], **rule: float) -> None:
         """Replace the rule of these pairs."""
         new_rule = Rule(**rule)  # type: ignore[arg-type]
         with self.lock:
             self.rules.update(dict.fromkeys(pairs, new_rule))
 
-    def heal(self, pairs: Iterable[Pair] | None = None) -> None:
+    def clear_rules(self, pairs: Iterable[Pair] | None = None) -> None:
         """Remove the rules of these pairs, or of all."""
         with self.lock:
             for pair in list(self.rules) if pairs is None else pairs:
@@ -97,12 +97,12 @@
         """Cut all traffic between the groups."""
         sets = [list(group) for group in groups]
         for one, other in itertools.permutations(sets, 2):
-            self.put(self.pairs(one, other), cut=True)
+            self.set_rule(self.pairs(one, other), cut=True)
 
-    def alive(self, name: str, real: tuple[str, int] | None = None) -> None:
+    def open_ports(self, name: str, address: tuple[str, int] | None = None) -> None:
         """Accept connections to a process that has started, at its address or at a new one."""
-        if real is not None:
-            self.real[name] = real
+        if address is not None:
+            self.addresses[name] = address
         for sender in self.names:
             pair = (sender, name)
             if sender != name and pair not in self.listeners:
@@ -110,7 +110,7 @@
                 sock.listen(64)
                 threading.Thread(target=self.accept, args=(sock, pair), name="switch", daemon=True).start()
 
-    def dead(self, name: str) -> None:
+    def close_ports(self, name: str) -> None:
         """Refuse connections to a process that has ended."""
         for pair in [pair for pair in self.listeners if pair[1] == name]:
             close(self.listeners.pop(pair))
@@ -155,7 +155,7 @@
                 except OSError:  # ICMP error of a datagram sent before
                     continue
                 for delay, data in self.apply_rule(self.datagrams[sock], raw):
-                    address = self.real[self.datagrams[sock][1]]
+                    address = self.addresses[self.datagrams[sock][1]]
                     if delay > 0:
                         heapq.heappush(delayed, (time.monotonic() + delay, next(order), sock, data, address))
                     else:
@@ -167,7 +167,7 @@
         try:
             sock.sendto(raw, address)
         except OSError:
-            self.passed["refused"] += 1
+            self.datagram_counts["refused"] += 1
 
     def apply_rule(self, pair: Pair, raw: bytes) -> list[tuple[float, bytes]]:
         """Return the delay and the bytes of each copy of a datagram to deliver."""
@@ -175,20 +175,20 @@
         with self.lock:
             rule = self.rules.get(pair)
         if rule is None:
-            self.passed["carried"] += 1
+            self.datagram_counts["carried"] += 1
             return [(0.0, raw)]
         random, deliveries = self.random, []
-        for _ in range(1 + (random.random() < rule.doubled)):
+        for _ in range(1 + (random.random() < rule.duplicated)):
             if rule.cut or random.random() < rule.loss:
-                self.passed["lost"] += 1
+                self.datagram_counts["lost"] += 1
                 continue
             data = raw
-            if random.random() < rule.spoilt:
+            if random.random() < rule.corrupted:
                 at = random.randrange(len(raw))
                 data = raw[:at] + bytes([raw[at] ^ (1 << random.randrange(8))]) + raw[at + 1 :]
                 data = data if random.random() < 0.5 else data[: random.randrange(len(data))]
-                self.passed["spoilt"] += 1
-            deliveries.append((rule.delay_s + random.random() * rule.disorder_s, data))
+                self.datagram_counts["corrupted"] += 1
+            deliveries.append((rule.delay_s + random.random() * rule.max_jitter_s, data))
         return deliveries
 
     def forward(self, pair: Pair, sock: socket.socket) -> None:
@@ -203,7 +203,7 @@
                 if self.is_closed_by_peer(sock):
                     return
             try:
-                with socket.create_connection(self.real[pair[1]], timeout=1.0) as upstream:
+                with socket.create_connection(self.addresses[pair[1]], timeout=1.0) as upstream:
                     return_thread = threading.Thread(
                         target=self.copy, args=(upstream, sock), name="switch", daemon=True
                     )
--- a/tests/test_division.py
+++ b/tests/test_division.py
@@ -139,7 +139,7 @@
         routers.wait_until(
             lambda: recorder.statuses[third]["lease_ends_ms"] == 0, 20.0, "the router cut off has no lease"
         )
-        routers.switch.heal()
+        routers.switch.clear_rules()
         routers.wait_until(lambda: recorder.leased_share() > 0.99, 20.0, "all routers have leases again")
         assert not [name for name in routers.names if "Traceback" in routers.log(name)]
         leasable = [row["whole"] - 3 * row["floor"] for row in recorder.statuses[routers.names[0]]["budgets"]]
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -68,8 +68,8 @@
     """In one of eight starts a router could not bind its port, which was already the port of a pair."""
     for _ in range(20):
         switch = Switch([f"n{n}" for n in range(8)])
-        real = [port for _, port in switch.real.values()]
-        assert len({*real, *switch.spare, *switch.ports.values()}) == 8 + 16 + 56
+        real = [port for _, port in switch.addresses.values()]
+        assert len({*real, *switch.spare_ports, *switch.ports.values()}) == 8 + 16 + 56
         for port in real:
             listener = socket.create_server(("127.0.0.1", port))
             listener.close()
@@ -78,12 +78,18 @@
 
 def test_loss_reordering_and_duplication_remove_no_router(fleet: Routers) -> None:
     before = removal_counts(fleet)
-    fleet.switch.put(
-        fleet.switch.pairs(fleet.names, fleet.names), loss=0.1, doubled=0.2, disorder_s=0.1, spoilt=0.05
+    fleet.switch.set_rule(
+        fleet.switch.pairs(fleet.names, fleet.names),
+        loss=0.1,
+        duplicated=0.2,
+        max_jitter_s=0.1,
+        corrupted=0.05,
     )
-    previous = fleet.switch.passed["carried"], fleet.switch.passed["spoilt"]
-    fleet.wait_until(lambda: fleet.switch.passed["spoilt"] - previous[1] > 40, 15.0, "corrupted datagrams")
-    fleet.switch.heal()
+    previous = fleet.switch.datagram_counts["carried"], fleet.switch.datagram_counts["corrupted"]
+    fleet.wait_until(
+        lambda: fleet.switch.datagram_counts["corrupted"] - previous[1] > 40, 15.0, "corrupted datagrams"
+    )
+    fleet.switch.clear_rules()
     fleet.wait_for_agreement(fleet.names)
     assert_no_removals(fleet, before)
     dropped = [fleet.status(name)["dropped"] for name in fleet.names]
@@ -93,10 +99,10 @@
 def test_one_way_and_pairwise_partitions_remove_no_router(fleet: Routers) -> None:
     before = removal_counts(fleet)
     ring = list(zip(fleet.names, [*fleet.names[1:], fleet.names[0]], strict=True))
-    fleet.switch.put([*ring, ("n1", "n4"), ("n4", "n1")], cut=True)
-    lost = fleet.switch.passed["lost"]
-    fleet.wait_until(lambda: fleet.switch.passed["lost"] - lost > 60, 15.0, "lost datagrams")
-    fleet.switch.heal()
+    fleet.switch.set_rule([*ring, ("n1", "n4"), ("n4", "n1")], cut=True)
+    lost = fleet.switch.datagram_counts["lost"]
+    fleet.wait_until(lambda: fleet.switch.datagram_counts["lost"] - lost > 60, 15.0, "lost datagrams")
+    fleet.switch.clear_rules()
     fleet.wait_for_agreement(fleet.names)
     assert_no_removals(fleet, before)
 
@@ -134,7 +140,7 @@
         lambda: all(fleet.status(n)["changes"] == changes[n] + 1 for n in rest), 5.0, "one change"
     )
     offsets = {name: len(fleet.log(name)) for name in rest}
-    fleet.switch.heal()
+    fleet.switch.clear_rules()
     fleet.wait_for_agreement(fleet.names)
 
     def has_readded(name: str) -> bool:
@@ -200,14 +206,14 @@
             fleet.wait_until(lambda: "n1" in fleet.members("n1"), 60.0, "the new process joins")
             own_status = next(router for router in fleet.status("n1")["routers"] if router["name"] == "n1")
             host, _, port = own_status["address"].partition(":")
-            fleet.switch.alive("n1", (host, int(port)))
+            fleet.switch.open_ports("n1", (host, int(port)))
 
             def is_superseded() -> bool:
                 starts = {router["name"]: router["start"] for router in fleet.status("n0").get("routers", [])}
                 return bool(starts.get("n1", 0) > old_start)
 
             fleet.wait_until(is_superseded, 10.0, "n0 has a record of the new process")
-            fleet.switch.heal()
+            fleet.switch.clear_rules()
             partition_ms = (time.monotonic() - partitioned_at) * 1000
             fleet.wait_until(lambda: fleet.members("n2") == set(fleet.names), 10.0, "n2 counts all routers")
             old_process.terminate()
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -485,7 +485,7 @@
         routers.wait_until(own_budget_leased, PATIENCE_S, "the region cut off leases its own budget")
         leased = sum(recorder.statuses[name]["budgets"][FILLS]["lease"] for name in cut_off_routers)
         assert leased <= region_plan("n2", "site2", PROCESS_TABLE).region_pool[FILLS]
-        routers.switch.heal()
+        routers.switch.clear_rules()
         routers.wait_until(all_leased, PATIENCE_S, "all units are leased after a partition")
         end_counts = clients.stop()
 
