--- a/benchmarks/spending.py
+++ b/benchmarks/spending.py
@@ -25,7 +25,7 @@
 from lupintack.standins.deployment import HOSTS
 from lupintack.standins.fleet import Fleet, Terms
 from lupintack.standins.routers import Routers
-from lupintack.standins.store import Clients, Level
+from lupintack.standins.store import Clients, OpenRequests
 
 Mark = tuple[float, str]
 
@@ -41,14 +41,14 @@
 
 def played(
     whole: int, seconds: float, clients: int, on: bool, fill_s: float
-) -> tuple[Level, list[Mark], dict[str, int], float]:
+) -> tuple[OpenRequests, list[Mark], dict[str, int], float]:
     """One run; its level, its marks, what the clients were answered, and its end."""
     table: dict[str, Any] = {
         "enabled": on, "voters": ["n0", "n1", "n2"], "at_once": {"store-fills": whole}, "floor_percent": 13,
         "promise_ms": 600, "lease_ms": 1600,
     }  # fmt: skip
     fleet = Fleet(Terms(delay_s=lambda name, cls: fill_s), {n: k for n, k in HOSTS.items() if k != "parent"})
-    level = Level()
+    level = OpenRequests()
     fleet.watch = level.watch
     marks: list[Mark] = []
 
--- a/benchmarks/two_levels.py
+++ b/benchmarks/two_levels.py
@@ -32,7 +32,7 @@
     """The processes, and what is told of each stretch."""
 
     def __init__(self, folder: Path, fill_s: float) -> None:
-        self.level = store.Level()
+        self.level = store.OpenRequests()
         terms = caches.Terms(delay_s=lambda name, cls: fill_s)
         fleet = caches.Fleet(terms, {name: kind for name, kind in HOSTS.items() if kind != "parent"})
         fleet.watch = self.level.watch
@@ -132,7 +132,7 @@
             play.hold(2.0)
             play.faults(pause, cut)
             load.stop()
-            click.echo(json.dumps({"sums": play.sums(), "store": [play.level.most(), played.STORE_FILLS],
+            click.echo(json.dumps({"sums": play.sums(), "store": [play.level.max_open(), played.STORE_FILLS],
                                    "answers": load.by_router}))  # fmt: skip
         finally:
             if load is not None:
--- a/lupintack/standins/store.py
+++ b/lupintack/standins/store.py
@@ -14,32 +14,32 @@
 
 from lupintack.standins.processes import ROOT
 
-STORE = "o-1"
+ORIGIN = "o-1"
 MAX_REQUESTS_PER_CLIENT = 20_000  # after which a client stops
-PATIENCE_S = 5.0  # of a client for one answer
+ANSWER_TIMEOUT_S = 5.0  # of a client for one answer
 
 
-class Level:
+class OpenRequests:
     """Number of open requests that are sent to the origin or name it as their source, over time."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.out = 0
+        self.open = 0
         self.steps: list[tuple[float, int]] = []  # monotonic seconds, open requests from then on
 
     def watch(self, member: str, fields: dict[str, str]) -> Callable[[], None]:
         """Count a request until the returned function is called; for `Fleet.watch`."""
-        if member != STORE and fields.get("miss") != STORE:
+        if member != ORIGIN and fields.get("miss") != ORIGIN:
             return lambda: None
         self.record_change(1)
         return lambda: self.record_change(-1)
 
     def record_change(self, delta: int) -> None:
         with self.lock:
-            self.out += delta
-            self.steps.append((time.monotonic(), self.out))
+            self.open += delta
+            self.steps.append((time.monotonic(), self.open))
 
-    def most(self) -> int:
+    def max_open(self) -> int:
         with self.lock:
             return max((level for _, level in self.steps), default=0)
 
@@ -85,7 +85,7 @@
 
 def client(port: int, stopping: threading.Event, ends: Counter[str], lock: threading.Lock) -> None:
     """Request one new object after another until `stopping` is set, observing the retry time of refusals."""
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=ANSWER_TIMEOUT_S)
     for _ in range(MAX_REQUESTS_PER_CLIENT):
         if stopping.is_set():
             break
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -8,7 +8,7 @@
 from lupintack.standins.deployment import HOSTS
 from lupintack.standins.fleet import Fleet, Terms
 from lupintack.standins.routers import Routers
-from lupintack.standins.store import PATIENCE_S, Clients, Level
+from lupintack.standins.store import ANSWER_TIMEOUT_S, Clients, OpenRequests
 from tests.test_division import TABLE, LeaseRecorder
 
 ORIGIN_FILLS = 12
@@ -24,7 +24,7 @@
     """The clients of six processes demand twice the budget. The origin's fills never exceed the budget and
     use most of it while there is an allocator. Each request gets one reply; a rejection has a retry time.
     """
-    origin_level = Level()
+    origin_level = OpenRequests()
     fleet = Fleet(Terms(delay_s=lambda name, cls: 0.1), HOSTS_WITHOUT_PARENTS)
     fleet.watch = origin_level.watch
     routers = Routers(tmp_path, 6, tables=lambda name: {"budgets": BUDGETS_TABLE}, fleet=fleet)
@@ -38,7 +38,7 @@
             "all units are leased",
         )
         clients = Clients(routers.listen, CLIENTS_PER_ROUTER)
-        routers.wait_until(lambda: origin_level.out > ORIGIN_FILLS / 2, 20.0, "the origin is in use")
+        routers.wait_until(lambda: origin_level.open > ORIGIN_FILLS / 2, 20.0, "the origin is in use")
         started_s = time.monotonic()
         routers.wait_until(
             lambda: origin_level.mean(started_s, time.monotonic()) > ORIGIN_FILLS * 0.5,
@@ -60,7 +60,7 @@
         paused_s = time.monotonic() - paused_s
         routers.wait_until(lambda: recorder.leased_share() > 0.8, 20.0, "the paused router has a lease again")
         end_counts = clients.stop()
-        assert 0 < origin_level.most() <= ORIGIN_FILLS
+        assert 0 < origin_level.max_open() <= ORIGIN_FILLS
         assert end_counts["200"] > 100 and end_counts["503"] > 100
         killed_ends, paused_ends = clients.by_router.pop(first), clients.by_router.pop(second)
         assert all(set(ends) <= {"200", "503"} for ends in clients.by_router.values()), clients.by_router
@@ -76,7 +76,7 @@
             set(paused_ends) <= {"200", "503", "502", "unanswered"}
             and paused_ends["502"] <= CLIENTS_PER_ROUTER
         ), paused_ends
-        assert paused_ends["unanswered"] <= CLIENTS_PER_ROUTER * (1 + int(paused_s / PATIENCE_S)), (
+        assert paused_ends["unanswered"] <= CLIENTS_PER_ROUTER * (1 + int(paused_s / ANSWER_TIMEOUT_S)), (
             paused_s,
             paused_ends,
         )
--- a/tests/test_two_levels.py
+++ b/tests/test_two_levels.py
@@ -403,7 +403,7 @@
     is paused, and a region is cut off and reconnected. The sums stay within the bounds at every instant, both
     in the routers' status and at the origin.
     """
-    origin_level = store.Level()
+    origin_level = store.OpenRequests()
     terms = caches.Terms(delay_s=lambda name, cls: 0.2)
     fleet = caches.Fleet(terms, {name: kind for name, kind in HOSTS.items() if kind != "parent"})
     fleet.watch = origin_level.watch
@@ -425,7 +425,7 @@
             lambda: bool(recorder.fleet_allocator()) and all_leased(), PATIENCE_S, "all units are leased"
         )
         clients = store.Clients(routers.listen, CLIENTS)
-        routers.wait_until(lambda: origin_level.out > STORE_FILLS / 2, PATIENCE_S, "the origin is in use")
+        routers.wait_until(lambda: origin_level.open > STORE_FILLS / 2, PATIENCE_S, "the origin is in use")
 
         def wait_for_name(find_name: Callable[[], str], text: str) -> str:
             """Return the name when there is one; on a busy machine a term may expire between two samples."""
@@ -502,7 +502,7 @@
         for region_name in PROCESS_TABLE["regions"]:
             names = [name for name in routers.names if REGION_OF[name] == region_name]
             assert 0 < recorder.peak_sum(OWN, names) <= recorder.leasable(OWN), region_name
-        assert 0 < origin_level.most() <= STORE_FILLS
+        assert 0 < origin_level.max_open() <= STORE_FILLS
         assert end_counts["200"] > 100 and end_counts["503"] > 100
         check_all_answered(clients.by_router, killed, paused, paused_s)
     finally:
@@ -554,7 +554,7 @@
     most two per client. Requests that expired in the paused process fail when it resumes, or their clients
     have disconnected by then.
     """
-    max_late = CLIENTS * (1 + int(paused_s / store.PATIENCE_S))
+    max_late = CLIENTS * (1 + int(paused_s / store.ANSWER_TIMEOUT_S))
     for name, end_counts in by_router.items():
         # A 502 is final, too: on a busy machine an attempt may time out, at most one per client.
         max_counts = {
