--- a/lupintack/scale/coordinator.py
+++ b/lupintack/scale/coordinator.py
@@ -307,7 +307,7 @@
         self.published += 1
         if self.published % 2:
             host = f"c{self.random.randrange(CACHES):03d}"
-            told = deployment.line(host, "127.0.0.1:9") | {"born_ms": time.time() * 1000}
+            told = deployment.host_entry(host, "127.0.0.1:9") | {"born_ms": time.time() * 1000}
             self._publish({"pool": {"whole": False, "seq": self.published, "hosts": [told]}})
             return
         self._write_settings(self.published)
--- a/lupintack/scale/role_reload.py
+++ b/lupintack/scale/role_reload.py
@@ -113,7 +113,9 @@
 def configuration(members: int) -> dict[str, Any]:
     """The platform's configuration with so many members, most of them caches of the own location."""
     told = deployment.configuration({}, "127.0.0.1:9")
-    lines = [deployment.line(f"s-{n:05}", f"10.0.{n // 250}.{n % 250 + 1}:7000") for n in range(members)]
+    lines = [
+        deployment.host_entry(f"s-{n:05}", f"10.0.{n // 250}.{n % 250 + 1}:7000") for n in range(members)
+    ]
     notice = {"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": lines}}
     told["known"] = {"rev": 1, "notices": [notice]}
     return copy.deepcopy(told)
--- a/lupintack/standins/deployment.py
+++ b/lupintack/standins/deployment.py
@@ -28,14 +28,14 @@
     "report": {"fields": ["cpu_share"]},
     "rules": {"drain-grace": 500.0, "grace-to-answer": 8.0},
 }  # fmt: skip
-BOARDS = [
+SECOND_CLASSES = [
     {"name": "media", "aim": 500.0, "aim-stretch": 1.6, "deadline": 5000.0, "repeat": "free", "worth": 2.0},
     {"name": "pages", "aim": 300.0, "aim-stretch": 2.0, "deadline": 3000.0, "repeat": "free"},
     {"name": "post", "aim": 800.0, "deadline": 3000.0, "repeat": "guarded", "group": "all",
      "dedup-window": 2000.0, "worth": 3.0},
 ]  # fmt: skip
-SECOND: dict[str, Any] = SETTINGS | {  # sizes known, keyed writes, no hedging, no load reports
-    "services": BOARDS,
+SECOND_SETTINGS: dict[str, Any] = SETTINGS | {  # sizes known, keyed writes, no hedging, no load reports
+    "services": SECOND_CLASSES,
     "domain": SETTINGS["domain"] | {"says": "hit", "notice-time": 500.0, "usable-after": [0.0, 20000.0, 0.0]},
     "limits": SETTINGS["limits"] | {"second-copies": False, "may-probe": True, "max-retry-after": 2000.0},
     "report": {"fields": [], "via": "none"},
@@ -44,11 +44,11 @@
 HOSTS = {"s-1": "box", "s-2": "box", "p-1": "parent", "p-2": "parent", "o-1": "origin"}
 
 
-def line(name: str, dial: str, health: str = "Ready", kind: str = "") -> dict[str, object]:
+def host_entry(name: str, dial: str, health: str = "Ready", kind: str = "") -> dict[str, object]:
     """Return the entry of a host in a discovery event."""
     kind = kind or HOSTS.get(name, "box")
-    told = {"host": name, "dial": dial, "site": "edge" if kind == "box" else "hub", "class": kind}
-    return told | {"block": 0, "health": health, "share": 8, "born_ms": 0}
+    entry = {"host": name, "dial": dial, "site": "edge" if kind == "box" else "hub", "class": kind}
+    return entry | {"block": 0, "health": health, "share": 8, "born_ms": 0}
 
 
 def configuration(
@@ -59,9 +59,10 @@
     **limits: object,
 ) -> dict[str, Any]:
     """Return the platform's configuration of one edge router; `dials` has the addresses of its members."""
-    hosts = [line(name, dial) for name, dial in dials.items()]
-    known = {"rev": 1, "notices": [{"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": hosts}}]}
+    hosts = [host_entry(name, dial) for name, dial in dials.items()]
+    known_events = {"rev": 1, "notices": [{"rev": 1, "pool": {"seq": 1, "whole": True, "hosts": hosts}}]}
     return {
-        "name": "n0", "listen": listen, "seed": "7", "board": board, "known": known, "settings": SETTINGS,
-        "link_bytes_per_s": link_bytes_per_s, "limits": {"sockets": 1024, "memory_mb": 192, **limits},
+        "name": "n0", "listen": listen, "seed": "7", "board": board, "known": known_events,
+        "settings": SETTINGS, "link_bytes_per_s": link_bytes_per_s,
+        "limits": {"sockets": 1024, "memory_mb": 192, **limits},
     }  # fmt: skip
--- a/lupintack/standins/edge.py
+++ b/lupintack/standins/edge.py
@@ -172,8 +172,8 @@
 
     def publish_health(self, name: str, health: str) -> float:
         """Publish the state of a member; return the time."""
-        line = deployment.line(name, self.fleet.members[name].address, health)
-        self.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [line]}})
+        entry = deployment.host_entry(name, self.fleet.members[name].address, health)
+        self.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [entry]}})
         return time.monotonic()
 
     def calls_to(self, names: Iterable[str], after_s: float = 0.0) -> list[Call]:
--- a/lupintack/standins/soak.py
+++ b/lupintack/standins/soak.py
@@ -2,9 +2,8 @@
 
     python -m lupintack.standins.soak --seeds 1-50 [--beside 3] [--planted NAME]
 
-Faults: series of signals, upgrades, clock steps, failing system calls, pauses of the process, faults of
-discovery, and members that drain, leave, return cold, hang or reset connections. Clients use open connections
-until SIGKILL, which is sent as early as the platform may send it. The same seed gives the same script.
+Faults: signals, upgrades, clock steps, failing system calls, pauses, discovery faults, and members that drain
+or fail. Clients use connections until SIGKILL, sent at the platform's earliest time. A seed repeats a script.
 """
 
 from __future__ import annotations
@@ -25,6 +24,7 @@
 import click
 
 from lupintack.standins import deployment
+from lupintack.standins.deployment import host_entry
 from lupintack.standins.edge import Edge
 from lupintack.standins.fleet import Fleet, Terms
 from lupintack.standins.processes import RUN
@@ -68,7 +68,7 @@
     ("setsockopt", 0.1, ("ENOBUFS", "ENOMEM")),
 )
 SETTINGS: dict[str, Any] = deployment.SETTINGS | {
-    "services": [one | {"deadline": float(WAIT_MS)} for one in deployment.CLASSES],
+    "services": [service | {"deadline": float(WAIT_MS)} for service in deployment.CLASSES],
     "rules": deployment.SETTINGS["rules"]
     | {
         "drain-grace": GRACE_S * 1000,
@@ -95,7 +95,7 @@
         limits: dict[str, Any] = {"sockets": 160} if self.has_crowd else {}
         self.edge = Edge(tmp, fleet=self.fleet, admin=True, link_bytes_per_s=2e6, **limits)
         hosts = [
-            deployment.line(name, one.address) | {"share": SHARE} for name, one in self.fleet.members.items()
+            host_entry(name, member.address) | {"share": SHARE} for name, member in self.fleet.members.items()
         ]
         pool = {"seq": 1, "whole": True, "hosts": hosts}
         self.edge.write(known={"rev": 1, "notices": [{"rev": 1, "pool": pool}]})
@@ -138,10 +138,10 @@
     def return_member(self, name: str) -> None:
         """Return a member to service with an empty cache, as a process that has just started."""
         now, unix_ms = time.monotonic(), int(time.time() * 1000)
-        line = deployment.line(name, self.fleet.members[name].address) | {"share": SHARE, "born_ms": unix_ms}
+        entry = host_entry(name, self.fleet.members[name].address) | {"share": SHARE, "born_ms": unix_ms}
         self.history.returns.append(Notification(now, name, now))
         self.fleet.members[name].copies.clear()
-        self.fleet.discovery_server.publish({"pool": {"seq": 3, "whole": False, "hosts": [line]}})
+        self.fleet.discovery_server.publish({"pool": {"seq": 3, "whole": False, "hosts": [entry]}})
         self.history.member_starts.append(Notification(now, name, self.notified_from(now)))
         self.log_step(f"{name} returned, cold")
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -130,7 +130,7 @@
 
     def host_entry(self, name: str, **changes: object) -> dict[str, object]:
         """Return a host's entry in the discovery list."""
-        return deployment.line(name, at(self.members[name])) | changes
+        return deployment.host_entry(name, at(self.members[name])) | changes
 
     def expand(self, text: str) -> str:
         now = lambda m: str(int(time.time() * 1000) + int(m[1] or 0))  # noqa: E731
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from lupintack.standins.deployment import HOSTS, line
+from lupintack.standins.deployment import HOSTS, host_entry
 from lupintack.standins.fleet import Fleet
 from lupintack.standins.processes import Processes, call
 from tests.scenario import MessageReader
@@ -73,7 +73,7 @@
         assert max_open < SOCKETS
         # Discovery is back: its events take effect within the usual time.
         removed = "s-1"
-        removal = line(removed, site.fleet.members[removed].address, "Gone", "box")
+        removal = host_entry(removed, site.fleet.members[removed].address, "Gone", "box")
         site.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [removal]}})
         site.fleet.discovery_server.accept_connections()
         eventually(lambda: call(admin, "POST", f"/api/include?name={removed}")[0] == 404, NOTIFIED_S)
--- a/tests/test_idempotency_keys.py
+++ b/tests/test_idempotency_keys.py
@@ -30,9 +30,12 @@
 
 def settings_with_window(window_ms: float, **limits: Any) -> dict[str, Any]:
     """Return the second deployment's settings with another deduplication window."""
-    base = deployment.SECOND
+    base = deployment.SECOND_SETTINGS
     return base | {
-        "services": [*deployment.BOARDS[:2], deployment.BOARDS[2] | {"dedup-window": window_ms}],
+        "services": [
+            *deployment.SECOND_CLASSES[:2],
+            deployment.SECOND_CLASSES[2] | {"dedup-window": window_ms},
+        ],
         "limits": base["limits"] | limits,
     }
 
@@ -113,7 +116,7 @@
         with unittest.mock.patch.multiple(
             connection_pool, HEALTH_CHECK_AFTER_US=100_000, HEALTH_CHECK_TIMEOUT_US=500_000
         ):
-            scenario = Scenario(settings=deployment.SECOND)
+            scenario = Scenario(settings=deployment.SECOND_SETTINGS)
             scenario.run("""
                 client a send GET /ops/media/00000000000000aa Req-Wait-Ms:5000
                 cache expect w
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -120,7 +120,7 @@
 
 
 def test_answers_are_counted_by_size_if_the_client_sends_sizes() -> None:
-    scenario = Scenario(settings=deployment.SECOND)
+    scenario = Scenario(settings=deployment.SECOND_SETTINGS)
     target = "/ops/media/00000000000000ae"
     scenario.run(f"""
         client a send GET {target} Req-Kb:100
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -81,8 +81,10 @@
 
 def settings(row: dict[str, Any]) -> dict[str, Any]:
     """Return the settings of a site with the values of a row."""
-    write_class = deployment.BOARDS[2] | {key: row[key] for key in ("repeat", "group", "dedup-window")}
-    base_settings = deployment.SECOND
+    write_class = deployment.SECOND_CLASSES[2] | {
+        key: row[key] for key in ("repeat", "group", "dedup-window")
+    }
+    base_settings = deployment.SECOND_SETTINGS
     domain = {key: row[key] for key in ("says", "joins", "straight", "sideways", "notice-time")}
     allowed = ["second-copies", "cancelling", "try-limit", "max-streams"]
     allowed += ["may-probe", "retry-after", "max-retry-after"]
@@ -90,7 +92,7 @@
     rules = {key: row[key] for key in ("drain-grace", "fall-multiple")}
     fields = ["cpu_share", "x0"] if row["via"] != "none" else []
     return base_settings | {
-        "services": [*deployment.BOARDS[:2], write_class],
+        "services": [*deployment.SECOND_CLASSES[:2], write_class],
         "weights": row["weights"],
         "domain": base_settings["domain"] | domain,
         "limits": base_settings["limits"] | limits,
@@ -206,7 +208,7 @@
             thread.start()
         eventually(lambda: len(self.answers) > 20)
         self.audit.notify_removed("s-1")
-        line = deployment.line("s-1", self.fleet.members["s-1"].address, "Terminating")
+        line = deployment.host_entry("s-1", self.fleet.members["s-1"].address, "Terminating")
         self.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [line]}})
         for item in range(1, 20):
             self.audit.notify_purged(f"{item:016x}", int(time.time() * 1000))
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -56,7 +56,7 @@
 
     def test_idempotency_key_reaches_every_attempt_unchanged_and_size_reaches_the_decisions(self) -> None:
         """Without it, caches reported `request ... is not as its client sent it`, and `-ERR bad request`."""
-        scenario = Scenario(settings=deployment.SECOND)
+        scenario = Scenario(settings=deployment.SECOND_SETTINGS)
         requests: list[i.Request] = []
         scenario.node.core.trace = lambda now, events, actions: requests.extend(
             event for event in events if isinstance(event, i.Request)
--- a/tests/test_without_cancellation.py
+++ b/tests/test_without_cancellation.py
@@ -39,7 +39,9 @@
 def without_hedging_or_cancelling(**limits: Any) -> dict[str, Any]:
     """Return the second deployment's settings, with hedging and cancelling not allowed."""
     restrictions = {"second-copies": False, "cancelling": False, "try-limit": 6}
-    return deployment.SECOND | {"limits": deployment.SECOND["limits"] | restrictions | limits}
+    return deployment.SECOND_SETTINGS | {
+        "limits": deployment.SECOND_SETTINGS["limits"] | restrictions | limits
+    }
 
 
 @pytest.fixture
