--- a/lupintack/standins/fleet.py
+++ b/lupintack/standins/fleet.py
@@ -20,7 +20,7 @@
 from lupintack import sockets
 from lupintack.peers import resp
 from lupintack.standins import deployment
-from lupintack.standins.audit import CONNECTION_LOST, Audit, MemberPlace, Run
+from lupintack.standins.audit import CONNECTION_LOST, Audit, MemberAttempt, MemberLocation
 from lupintack.standins.discovery_server import DiscoveryServer
 from lupintack.standins.net import at, close, listen
 
@@ -101,7 +101,7 @@
         dropped: set[str] = set()
         self.connections.append(sock)
         reader = resp.Reader(sock)
-        audit, open_attempts = self.fleet.audit, list[Run]()
+        audit, open_attempts = self.fleet.audit, list[MemberAttempt]()
         connection = next(self.fleet.connection_numbers)
         on_finish: dict[str, Callable[[], None]] = {}  # callbacks of the open requests, by their ids
 
@@ -138,15 +138,15 @@
                     with lock:
                         dropped.add(bytes(parts[1]).decode())
                     if audit is not None:
-                        audit.never_mind(self.name, bytes(parts[1]).decode())
+                        audit.on_attempt_cancelled(self.name, bytes(parts[1]).decode())
                 elif command != b"want":
                     raise resp.FrameError(f"command {command!r} is not allowed in this deployment")
                 else:
                     wire_id, body = bytes(parts[1]).decode(), bytes(parts[3])
                     fields = resp.parse_fields(parts[2])
-                    attempt, open_attempts = None, [other for other in open_attempts if not other.ended]
+                    attempt, open_attempts = None, [other for other in open_attempts if not other.ended_s]
                     if audit is not None:
-                        attempt = audit.began(self.name, wire_id, fields, body, connection)
+                        attempt = audit.on_attempt_started(self.name, wire_id, fields, body, connection)
                         open_attempts.append(attempt)
                     dropped.discard(wire_id)
                     if self.fleet.on_call is not None:
@@ -157,7 +157,7 @@
                     self.answer_request(wire_id, fields, body, reply, cut, attempt)
         except resp.FrameError as error:
             if audit is not None:
-                audit.fault("-", f"to {self.name}: {error}")
+                audit.add_violation("-", f"to {self.name}: {error}")
         except (OSError, EOFError):
             pass
         finally:
@@ -167,7 +167,7 @@
                 finish(wire_id)
             for attempt in open_attempts:
                 if audit is not None:
-                    audit.ended(attempt, CONNECTION_LOST)
+                    audit.on_attempt_ended(attempt, CONNECTION_LOST)
 
     def answer_request(
         self,
@@ -176,7 +176,7 @@
         body: bytes,
         reply: Callable[[str, bytes], None],
         cut: Callable[[], None],
-        attempt: Run | None,
+        attempt: MemberAttempt | None,
     ) -> None:
         """Answer a `want` command after the delay of its class, or inject the fault that the test has set."""
         cls = fields.get("cls", "")
@@ -192,8 +192,8 @@
                 return
             if attempt is not None and audit is not None:
                 if status in (b"ok", b"current"):
-                    audit.served(attempt, int(resp.parse_fields(answer_fields.encode())["issued"]))
-                audit.ended(attempt, CONNECTION_LOST if fault == "closed" else status.decode())
+                    audit.check_copy_age(attempt, int(resp.parse_fields(answer_fields.encode())["issued"]))
+                audit.on_attempt_ended(attempt, CONNECTION_LOST if fault == "closed" else status.decode())
             if fault == "closed":
                 cut()
             else:
@@ -280,8 +280,8 @@
         self.on_call: Callable[[Call], None] | None = None  # called with each `want`
         self.audit = None
         if strict:
-            places = {name: MemberPlace(kind, sites.get(kind, "hub")) for name, kind in hosts.items()}
-            self.audit = Audit(self.settings, places)
+            locations = {name: MemberLocation(kind, sites.get(kind, "hub")) for name, kind in hosts.items()}
+            self.audit = Audit(self.settings, locations)
         self.keys: dict[str, float] = {}
         self.connection_numbers = itertools.count(1)  # of the members' connections
         self.delayed_calls = DelayedCalls()
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -23,7 +23,7 @@
 from lupintack.config import parse
 from lupintack.node import Node
 from lupintack.standins import deployment
-from lupintack.standins.audit import NEVER_RAN, Sent
+from lupintack.standins.audit import NOT_EXECUTED, SentRequest
 from lupintack.standins.fleet import Fleet, Terms
 from tests.scenario import MessageReader
 from tests.site import eventually
@@ -168,7 +168,7 @@
         body = b"note" if cls == "post" else b""
         keyed = self.row["repeat"] == "guarded"
         token = token if cls == "post" and keyed else ""
-        self.audit.client(wire_id, Sent(cls, item, "0", token, body, "", WAIT_MS))
+        self.audit.register_request(wire_id, SentRequest(cls, item, "0", token, body, "", WAIT_MS))
         head = f"{'PUT' if body else 'GET'} /ops/{cls}/{item} HTTP/1.1\r\nHost: x\r\nReq-Id: {wire_id}\r\n"
         head += f"Req-Wait-Ms: {WAIT_MS}\r\n" + (f"Req-Token: {token}\r\n" if token else "")
         head += "Req-Kb: 412.5\r\n" if self.row["sizes"] and not body else ""
@@ -264,16 +264,16 @@
     finally:
         scenario.close()
     audit = scenario.audit
-    assert not audit.faults, (row, audit.faults[:5])
+    assert not audit.violations, (row, audit.violations[:5])
     assert not late_answers(scenario, processor_gaps), (row, late_answers(scenario, processor_gaps))
     statuses = Counter(status for _, status, *_ in scenario.answers)
     assert set(statuses) <= {200, 304, 429, 502, 503} and statuses[200] > len(scenario.answers) // 3, statuses
     if row["repeat"] == "single_shot":
         execution_counts = [
-            sum(run.how not in NEVER_RAN for run in runs)
-            for wire_id, runs in audit.runs.items()
-            if audit.sent[wire_id].cls == "post"
+            sum(attempt.outcome not in NOT_EXECUTED for attempt in attempts)
+            for wire_id, attempts in audit.attempts.items()
+            if audit.requests[wire_id].cls == "post"
         ]
         assert max(execution_counts) == 1, execution_counts
-    assert {"cls", "item", "limit", "miss"} <= audit.seen  # the audit has checked requests
-    assert ("nonce" in audit.seen) == (row["repeat"] == "guarded")
+    assert {"cls", "item", "limit", "miss"} <= audit.seen_fields  # the audit has checked requests
+    assert ("nonce" in audit.seen_fields) == (row["repeat"] == "guarded")
--- a/tests/test_without_cancellation.py
+++ b/tests/test_without_cancellation.py
@@ -27,7 +27,7 @@
 from lupintack.peers.messages import SlotReleased
 from lupintack.peers.peer import Peer
 from lupintack.standins import deployment
-from lupintack.standins.audit import Audit, MemberPlace, Sent
+from lupintack.standins.audit import Audit, MemberLocation, SentRequest
 from tests import helpers as h
 from tests.scenario import Scenario
 from tests.test_idempotency_keys import make_attempt
@@ -218,9 +218,9 @@
     """Return an audit that has seen a client send one read."""
     audit = Audit(
         without_hedging_or_cancelling(**limits),
-        {"s-1": MemberPlace("box", "edge"), "s-2": MemberPlace("box", "edge")},
+        {"s-1": MemberLocation("box", "edge"), "s-2": MemberLocation("box", "edge")},
     )
-    audit.client("0" * 16, Sent("pages", "0" * 16, "0", "", b"", "", 5000))
+    audit.register_request("0" * 16, SentRequest("pages", "0" * 16, "0", "", b"", "", 5000))
     return audit
 
 
@@ -232,23 +232,23 @@
     audit = audit_with_read(**{"second-copies": allowed})
     clock = unittest.mock.Mock(return_value=1000.0)
     with unittest.mock.patch("lupintack.standins.audit.time.time", clock):
-        first = audit.began("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
+        first = audit.on_attempt_started("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
         clock.return_value = 1010.0
-        second = audit.began("s-2", "0" * 16, ATTEMPT_FIELDS, b"")
-        audit.ended(second, "ok")
+        second = audit.on_attempt_started("s-2", "0" * 16, ATTEMPT_FIELDS, b"")
+        audit.on_attempt_ended(second, "ok")
         clock.return_value = 1011.0
-        audit.ended(first, "ok")
-    assert bool(audit.faults) != allowed
+        audit.on_attempt_ended(first, "ok")
+    assert bool(audit.violations) != allowed
 
 
 def test_audit_counts_an_unanswered_attempt_as_open() -> None:
     audit = audit_with_read()
     clock = unittest.mock.Mock(return_value=1000.0)
     with unittest.mock.patch("lupintack.standins.audit.time.time", clock):
-        audit.began("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
+        audit.on_attempt_started("s-1", "0" * 16, ATTEMPT_FIELDS, b"")
         clock.return_value = 1010.0
-        audit.ended(audit.began("s-2", "0" * 16, ATTEMPT_FIELDS, b""), "ok")
-        assert not audit.faults
+        audit.on_attempt_ended(audit.on_attempt_started("s-2", "0" * 16, ATTEMPT_FIELDS, b""), "ok")
+        assert not audit.violations
         clock.return_value = 1011.0
         audit.close()
-    assert len(audit.faults) == 1
+    assert len(audit.violations) == 1
