--- a/lupintack/standins/audit.py
+++ b/lupintack/standins/audit.py
@@ -70,7 +70,7 @@
     open_attempts: dict[int, list[MemberAttempt]] = field(default_factory=dict)  # by connection
     purges: dict[str, tuple[float, int]] = field(
         default_factory=dict
-    )  # by object: when published, its Unix ms
+    )  # by object: time, Unix ms of the purge
     seen_fields: set[str] = field(default_factory=set)  # and flags; shows a test that requests were checked
     lock: threading.RLock = field(default_factory=threading.RLock)
 
--- a/lupintack/standins/discovery_server.py
+++ b/lupintack/standins/discovery_server.py
@@ -8,7 +8,7 @@
 import time
 from typing import Any
 
-from lupintack.standins.net import at, close, listen
+from lupintack.standins.net import address_of, close, listen
 
 
 class DiscoveryServer:
@@ -28,7 +28,7 @@
         self.watchers: list[socket.socket] = []
         self.closed = threading.Event()
         self.sock = listen(self.serve)
-        self.address = at(self.sock)
+        self.address = address_of(self.sock)
         threading.Thread(target=self.run_heartbeat, name="board", daemon=True).start()
 
     def serve(self, sock: socket.socket) -> None:
--- a/lupintack/standins/fleet.py
+++ b/lupintack/standins/fleet.py
@@ -22,7 +22,7 @@
 from lupintack.standins import deployment
 from lupintack.standins.audit import CONNECTION_LOST, Audit, MemberAttempt, MemberLocation
 from lupintack.standins.discovery_server import DiscoveryServer
-from lupintack.standins.net import at, close, listen
+from lupintack.standins.net import address_of, close, listen
 
 SIZES = {"river-video": 120_000, "map-tiles": 12_000, "alert-ack": 40}
 ERROR_STATUSES = ("refused", "error")  # faults that are sent as a status
@@ -93,7 +93,7 @@
         self.requests_by_class: Counter[str] = Counter()
         self.connections: list[socket.socket] = []
         self.sock = listen(self.serve)
-        self.address = at(self.sock)
+        self.address = address_of(self.sock)
 
     def serve(self, sock: socket.socket) -> None:
         """Handle the commands of one connection; answers are sent in any order."""
--- a/lupintack/standins/net.py
+++ b/lupintack/standins/net.py
@@ -66,7 +66,7 @@
     return sock
 
 
-def at(sock: socket.socket) -> str:
+def address_of(sock: socket.socket) -> str:
     """Return the address of a listening socket as host:port."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
--- a/lupintack/standins/proxy.py
+++ b/lupintack/standins/proxy.py
@@ -7,7 +7,7 @@
 import time
 from enum import Enum
 
-from lupintack.standins.net import at, close, listen
+from lupintack.standins.net import address_of, close, listen
 
 CHUNK_BYTES = 65536
 PIECE_BYTES = 7
@@ -38,7 +38,7 @@
         self.closed = False
         self.refusing = False
         self.sock = listen(self.serve)
-        self.address = at(self.sock)
+        self.address = address_of(self.sock)
 
     def serve(self, sock: socket.socket) -> None:
         """Forward one connection in both directions until either side closes."""
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -31,7 +31,7 @@
 from lupintack.peers import resp
 from lupintack.standins import deployment
 from lupintack.standins.deployment import HOSTS
-from lupintack.standins.net import at, close, listen
+from lupintack.standins.net import address_of, close, listen
 
 TIMEOUT_S = 5.0
 
@@ -97,10 +97,14 @@
         self.accepted_sockets: list[socket.socket] = []  # accepted by the stand-ins
         self.members = {name: listen(self.member_server(name)) for name in HOSTS}
         self.cdn_listeners = {name: listen(self.cdn_server(name)) for name in ("up", "down")}
-        self.variables |= {name: f"http://{at(sock)}" for name, sock in self.cdn_listeners.items()}
+        self.variables |= {name: f"http://{address_of(sock)}" for name, sock in self.cdn_listeners.items()}
         board = self.new_discovery_listener()
         self.data = deployment.configuration(
-            {name: at(sock) for name, sock in self.members.items()}, at(board), "127.0.0.1:0", link, **limits
+            {name: address_of(sock) for name, sock in self.members.items()},
+            address_of(board),
+            "127.0.0.1:0",
+            link,
+            **limits,
         )
         self.data["settings"] = settings or self.data["settings"]
         self.data["admin_addr"] = "127.0.0.1:0"
@@ -109,7 +113,10 @@
         if cdni:
             with socket.socket() as port_socket:
                 port_socket.bind(("127.0.0.1", 0))
-                self.variables |= {"cdni": f"http://{at(port_socket)}", "cdni_at": at(port_socket)}
+                self.variables |= {
+                    "cdni": f"http://{address_of(port_socket)}",
+                    "cdni_at": address_of(port_socket),
+                }
             with tempfile.TemporaryDirectory() as folder:
                 file = Path(folder) / "cdni.toml"
                 file.write_text(self.expand(cdni))
@@ -130,7 +137,7 @@
 
     def host_entry(self, name: str, **changes: object) -> dict[str, object]:
         """Return a host's entry in the discovery list."""
-        return deployment.host_entry(name, at(self.members[name])) | changes
+        return deployment.host_entry(name, address_of(self.members[name])) | changes
 
     def expand(self, text: str) -> str:
         now = lambda m: str(int(time.time() * 1000) + int(m[1] or 0))  # noqa: E731
@@ -344,7 +351,7 @@
         if words[0] == "HUP":
             with tempfile.TemporaryDirectory() as folder:
                 file = Path(folder) / "config.json"
-                data = self.data | {"board": at(self.new_discovery_listener()), "seed": "8"}
+                data = self.data | {"board": address_of(self.new_discovery_listener()), "seed": "8"}
                 file.write_text("{" if words[1:] else json.dumps(data))
                 self.node.reload({"EDGE_CONFIG": str(file)})
         elif verb == "send":
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -23,7 +23,7 @@
 from lupintack.lifecycle.bans import Bans, parse
 from lupintack.lifecycle.upgrade_peer import UpgradePeer
 from lupintack.peers import resp
-from lupintack.standins.net import at, listen
+from lupintack.standins.net import address_of, listen
 from tests.scenario import MessageReader, Scenario
 from tests.site import eventually
 
@@ -300,7 +300,7 @@
     scenario = Scenario()
     scenario.run("board expect watch 1\nstaff call POST /api/exclude?name=s-1 200", close=False)
     scenario.members["s-1 moved"] = listen(scenario.member_server("s-1 moved"))
-    moved = json.dumps(scenario.host_entry("s-1", dial=at(scenario.members["s-1 moved"])))
+    moved = json.dumps(scenario.host_entry("s-1", dial=address_of(scenario.members["s-1 moved"])))
     scenario.run(f'board send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False)
     eventually(
         lambda: scenario.node.discovery.last_revision == 2 and scenario.node.member_table.mailbox.empty()
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -208,8 +208,8 @@
             thread.start()
         eventually(lambda: len(self.answers) > 20)
         self.audit.notify_removed("s-1")
-        line = deployment.host_entry("s-1", self.fleet.members["s-1"].address, "Terminating")
-        self.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [line]}})
+        entry = deployment.host_entry("s-1", self.fleet.members["s-1"].address, "Terminating")
+        self.fleet.discovery_server.publish({"pool": {"seq": 2, "whole": False, "hosts": [entry]}})
         for item in range(1, 20):
             self.audit.notify_purged(f"{item:016x}", int(time.time() * 1000))
             self.fleet.discovery_server.purge(asset=f"{item:016x}")
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -25,7 +25,7 @@
 from lupintack.peers import connection_pool, resp
 from lupintack.standins import deployment
 from lupintack.standins.deployment import SETTINGS
-from lupintack.standins.net import at
+from lupintack.standins.net import address_of
 from tests.scenario import MessageReader, Scenario
 from tests.site import eventually
 
@@ -911,7 +911,9 @@
             # Discovery listens, as a refused connection may be logged before the start's line.
             board = socket.create_server(("127.0.0.1", 0))
             self.addCleanup(board.close)
-            data = deployment.configuration({name: "127.0.0.1:1" for name in deployment.HOSTS}, at(board))
+            data = deployment.configuration(
+                {name: "127.0.0.1:1" for name in deployment.HOSTS}, address_of(board)
+            )
             file.write_text(json.dumps(data))
             listen = f"127.0.0.1:{probe.getsockname()[1]}"
             probe.close()
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -15,7 +15,7 @@
 
 from lupintack.standins import deployment
 from lupintack.standins.discovery_server import DiscoveryServer
-from lupintack.standins.net import at, close, free_ports, listen
+from lupintack.standins.net import address_of, close, free_ports, listen
 from lupintack.standins.processes import ROOT
 
 PROCESS_COUNT = 20
@@ -90,7 +90,9 @@
         for n, port in enumerate(ports):
             file = tmp_path / f"{n}.json"
             file.write_text(
-                json.dumps(configuration(f"127.0.0.1:{port}", at(silent_discovery), at(hung_member)))
+                json.dumps(
+                    configuration(f"127.0.0.1:{port}", address_of(silent_discovery), address_of(hung_member))
+                )
             )
             processes.append(launch(file, tmp_path / f"{n}.log"))
             os.sched_setaffinity(processes[-1].pid, set(sorted(os.sched_getaffinity(0))[:CPU_COUNT]))
