--- a/lupintack/standins/soak.py
+++ b/lupintack/standins/soak.py
@@ -393,7 +393,7 @@
                 click.echo(f"seed={result.seed} {result.counts.line()}")
                 click.echo("\n".join(f"  {line}" for line in [*result.script, *result.notes]))
     click.echo(closing_line(results))
-    sys.exit(1 if any(one.counts.broken() for one in results) else 0)
+    sys.exit(1 if any(result.counts.broken() for result in results) else 0)
 
 
 if __name__ == "__main__":
--- a/lupintack/standins/soak_counts.py
+++ b/lupintack/standins/soak_counts.py
@@ -102,7 +102,7 @@
         """Fill in all counts and return the result."""
         counts, edge = self.result.counts, self.edge
         self.result.requests = len(edge.requests)
-        self.result.served = sum(one.status == 200 for one in edge.requests)
+        self.result.served = sum(client_record.status == 200 for client_record in edge.requests)
         self.count_calls(counts)
         self.count_requests(counts)
         counts.over_cold_budget = self.count_slow_start_excess()
@@ -112,7 +112,7 @@
         return self.result
 
     def count_calls(self, counts: Counts) -> None:
-        records = {one.wire_id: one for one in self.edge.requests}
+        records = {client_record.wire_id: client_record for client_record in self.edge.requests}
         for call in list(self.edge.calls):
             record = records.get(call.wire_id)
             if record is None:
--- a/lupintack/standins/store.py
+++ b/lupintack/standins/store.py
@@ -133,4 +133,4 @@
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]), [int(word) for word in sys.argv[2:]])
+    main(int(sys.argv[1]), [int(port) for port in sys.argv[2:]])
--- a/lupintack/standins/switch.py
+++ b/lupintack/standins/switch.py
@@ -96,8 +96,8 @@
     def split(self, *groups: Iterable[str]) -> None:
         """Cut all traffic between the groups."""
         sets = [list(group) for group in groups]
-        for one, other in itertools.permutations(sets, 2):
-            self.set_rule(self.pairs(one, other), cut=True)
+        for senders, receivers in itertools.permutations(sets, 2):
+            self.set_rule(self.pairs(senders, receivers), cut=True)
 
     def open_ports(self, name: str, address: tuple[str, int] | None = None) -> None:
         """Accept connections to a process that has started, at its address or at a new one."""
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -159,8 +159,8 @@
             drawn = self.random.random()
         if self.is_fault_free:
             return ""
-        parts = (("refused", 0.08), ("error", 0.12), ("lost", 0.16), ("late", 0.20), ("closed", 0.23))
-        return next((word for word, below in parts if drawn < below), "")
+        fault_limits = (("refused", 0.08), ("error", 0.12), ("lost", 0.16), ("late", 0.20), ("closed", 0.23))
+        return next((fault for fault, limit in fault_limits if drawn < limit), "")
 
     def send_request(self, reader: MessageReader, cls: str, item: str, token: str) -> bool:
         """Send a request and read its answer; return whether the connection is reusable."""
