--- a/tests/test_client_disconnection.py
+++ b/tests/test_client_disconnection.py
@@ -118,7 +118,7 @@
         for ends_connection in (False, True):
             with self.subTest(connection=ends_connection), site() as running_site, delayed_connects() as gate:
                 app = running_site.app()
-                stream = app.ask("PUT", ACK, b"seen")
+                stream = app.send_request("PUT", ACK, b"seen")
                 eventually(partial(has_waiting_attempts, running_site))
                 if ends_connection:
                     app.close()
@@ -227,7 +227,7 @@
         ):
             app = App(running_site.node.http2[1].sock.getsockname())
             running_site.apps.append(app)
-            stream = app.ask("GET", "/content/own/maps/1.png")
+            stream = app.send_request("GET", "/content/own/maps/1.png")
             assert reached.wait(5)
             app.reset(stream)
             wait_for_count(running_site, "http2.reset", 1)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -41,9 +41,9 @@
     try:
         app = App(router.http2)
         router.process.send_signal(signal.SIGUSR1)
-        assert app.answer(app.ask("GET", "/ops/map-tiles/00000000000000aa")).status == 200
+        assert app.read_response(app.send_request("GET", "/ops/map-tiles/00000000000000aa")).status == 200
         router.process.terminate()
-        assert app.end() == [((1 << 31) - 1, 0), (1, 0)]
+        assert app.read_until_closed() == [((1 << 31) - 1, 0), (1, 0)]
         assert router.process.wait(8.0) == 0
         assert not [line for line in router.lines() if "Traceback" in line]
         assert any("http2.0.now.open=" in line for line in router.lines())
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -63,9 +63,9 @@
     reads = DelayedReads(monkeypatch)
     with site() as testbed:
         app = testbed.app()
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         reads.delay_by_address[testbed.http2] = 0.3
-        app.ask("GET", VIDEO)
+        app.send_request("GET", VIDEO)
         app.sock.close()
         eventually(lambda: testbed.count("received.river-video") == 1 and not testbed.front.connections)
         assert testbed.member_requests("river-video") == 0
@@ -83,15 +83,15 @@
     reads = DelayedReads(monkeypatch)
     with site() as testbed:
         app = testbed.app()
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         reads.delay_by_address[testbed.http2] = 0.1
-        app.reset(app.ask("GET", VIDEO))
-        app.reset(app.ask("PUT", ACK, b"seen"))
+        app.reset(app.send_request("GET", VIDEO))
+        app.reset(app.send_request("PUT", ACK, b"seen"))
         eventually(lambda: testbed.count("http2.reset") == 2)
         assert testbed.member_requests("river-video") == 0 and testbed.member_requests("alert-ack") == 0
         eventually(lambda: testbed.front.stream_table.open == 0 and testbed.front.stream_table.bytes == 0)
         reads.delay_by_address.clear()
-        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection stays open"
+        assert app.read_response(app.send_request("GET", TILE)).status == 200, "the connection stays open"
 
 
 def test_attempt_limit_of_a_late_read_stream_is_the_remaining_client_wait(
@@ -103,31 +103,31 @@
         limits: dict[str, int] = {}
         testbed.fleet.on_call = lambda call: limits.update({call.wire_id: int(call.fields["limit"])})
         app = testbed.app()
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         reads.delay_by_address[testbed.http2] = 0.4
         for stream in (
-            app.ask("GET", VIDEO, req_id="00000000000000a1", req_wait_ms="1200"),
-            app.ask("PUT", ACK, b"seen", req_id="00000000000000a2", req_wait_ms="1200"),
+            app.send_request("GET", VIDEO, req_id="00000000000000a1", req_wait_ms="1200"),
+            app.send_request("PUT", ACK, b"seen", req_id="00000000000000a2", req_wait_ms="1200"),
         ):
-            assert app.answer(stream).status == 200
+            assert app.read_response(stream).status == 200
         assert max(limits["00000000000000a1"], limits["00000000000000a2"]) <= 1200 - 400 + 150
 
 
 def test_streams_are_served_like_http1_requests() -> None:
     with site() as testbed:
         app = testbed.app()
-        streams = [app.ask("GET", f"{TILE}?nth={n}", x_batch="17") for n in range(30)]
-        video, ack = app.ask("GET", VIDEO), app.ask("PUT", ACK, b"seen")
+        streams = [app.send_request("GET", f"{TILE}?nth={n}", x_batch="17") for n in range(30)]
+        video, ack = app.send_request("GET", VIDEO), app.send_request("PUT", ACK, b"seen")
         for n, stream in enumerate(streams):
-            response = app.answer(stream)
+            response = app.read_response(stream)
             assert response.status == 200 and response.body == content("00000000000000aa", str(n), 12_000)
             assert response.headers["content-length"] == "12000"
-        assert app.answer(video).body == content("00000000000000bb", "0", 120_000)
-        assert app.answer(ack).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
+        assert app.read_response(video).body == content("00000000000000bb", "0", 120_000)
+        assert app.read_response(ack).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
         tag = app.streams[streams[0]].headers["etag"]
-        revalidated = app.answer(app.ask("GET", f"{TILE}?nth=0", if_none_match=tag))
+        revalidated = app.read_response(app.send_request("GET", f"{TILE}?nth=0", if_none_match=tag))
         assert revalidated.status == 304 and revalidated.body == b""
-        assert app.answer(app.ask("HEAD", "/alive")).status == 200
+        assert app.read_response(app.send_request("HEAD", "/alive")).status == 200
         eventually(lambda: testbed.front.stream_table.open == 0 and testbed.front.stream_table.bytes == 0)
 
 
@@ -146,10 +146,12 @@
 def test_invalid_request_gets_an_error_status_and_text(change: dict[str, str], status: int) -> None:
     with site() as testbed:
         app = testbed.app()
-        fields = {k.decode(): v.decode() for k, v in app.fields("GET", TILE)} | change
-        response = app.answer(app.ask_with([(k.encode(), v.encode()) for k, v in fields.items() if v]))
+        fields = {k.decode(): v.decode() for k, v in app.request_headers("GET", TILE)} | change
+        response = app.read_response(
+            app.send_request_with([(k.encode(), v.encode()) for k, v in fields.items() if v])
+        )
         assert response.status == status and response.body.endswith(b"\n")
-        assert app.answer(app.ask("GET", TILE)).status == 200, "the connection stays open"
+        assert app.read_response(app.send_request("GET", TILE)).status == 200, "the connection stays open"
 
 
 MALFORMED: list[Callable[[list[tuple[bytes, bytes]]], list[tuple[bytes, bytes]]]] = [
@@ -177,9 +179,9 @@
     with site() as testbed:
         app = testbed.app()
         for number, change in enumerate(MALFORMED):
-            response = app.answer(app.ask_with(change(app.fields("GET", TILE))))
-            assert response.reset == PROTOCOL, number
-        assert app.answer(app.ask("GET", TILE)).status == 200
+            response = app.read_response(app.send_request_with(change(app.request_headers("GET", TILE))))
+            assert response.reset_code == PROTOCOL, number
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         assert (
             testbed.count("http2.malformed") == len(MALFORMED) and testbed.member_requests("map-tiles") <= 3
         )
@@ -188,28 +190,28 @@
 def test_repeated_request_id_is_rejected() -> None:
     with site() as testbed:
         app = testbed.app()
-        fields = [*app.fields("GET", TILE), (b"req-id", b"0123456789abcdef")]
-        assert app.answer(app.ask_with(fields)).status == 400
+        fields = [*app.request_headers("GET", TILE), (b"req-id", b"0123456789abcdef")]
+        assert app.read_response(app.send_request_with(fields)).status == 400
 
 
 def test_body_that_differs_from_its_content_length_resets_the_stream() -> None:
     with site() as testbed:
         app = testbed.app()
-        long = app.ask("PUT", ACK, b"12345", content_length="4")
-        short = app.ask("PUT", ACK, b"12345", content_length="6")
-        none = app.ask("PUT", ACK, content_length="6")
-        assert [app.answer(stream).reset for stream in (long, short, none)] == [PROTOCOL] * 3
-        right = app.ask("PUT", ACK, b"12345", content_length="5")
-        assert app.answer(right).status == 200 and testbed.fleet.ran["00000000000000ac"] == 1
+        long = app.send_request("PUT", ACK, b"12345", content_length="4")
+        short = app.send_request("PUT", ACK, b"12345", content_length="6")
+        none = app.send_request("PUT", ACK, content_length="6")
+        assert [app.read_response(stream).reset_code for stream in (long, short, none)] == [PROTOCOL] * 3
+        right = app.send_request("PUT", ACK, b"12345", content_length="5")
+        assert app.read_response(right).status == 200 and testbed.fleet.ran["00000000000000ac"] == 1
 
 
 def test_too_long_or_unexpected_body_is_rejected() -> None:
     with site() as testbed:
         app = testbed.app()
-        assert app.answer(app.ask("PUT", ACK, b"x" * 48_000)).status == 200
-        assert app.answer(app.ask("PUT", ACK, b"x" * 48_001)).status == 413
-        assert app.answer(app.ask("PUT", ACK, b"x", content_length="48001")).status == 413
-        assert app.answer(app.ask("GET", TILE, b"x")).status == 400
+        assert app.read_response(app.send_request("PUT", ACK, b"x" * 48_000)).status == 200
+        assert app.read_response(app.send_request("PUT", ACK, b"x" * 48_001)).status == 413
+        assert app.read_response(app.send_request("PUT", ACK, b"x", content_length="48001")).status == 413
+        assert app.read_response(app.send_request("GET", TILE, b"x")).status == 400
         assert testbed.fleet.ran["00000000000000ac"] == 1
         eventually(lambda: testbed.front.stream_table.open == 0)
 
@@ -218,11 +220,13 @@
     with site() as testbed:
         app = connected_app(testbed)
         (conn,) = testbed.front.connections.values()
-        early = [app.ask("PUT", ACK, b"x", end=False, content_length="48001") for _ in range(5)]
-        assert {app.answer(stream).status for stream in early} == {413}
+        early = [
+            app.send_request("PUT", ACK, b"x", end_stream=False, content_length="48001") for _ in range(5)
+        ]
+        assert {app.read_response(stream).status for stream in early} == {413}
         eventually(lambda: all(conn.wire.session.streams[stream].closed for stream in early))
         assert not conn.half_open and testbed.front.stream_table.open == 0
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
 
 
 def test_trailers_are_ignored_and_pseudo_field_trailers_reset_the_stream() -> None:
@@ -230,21 +234,21 @@
         app = testbed.app()
         ends = []
         for trailer in ((b"x-sum", b"1"), (b":path", b"/")):
-            stream = app.ask("PUT", ACK, b"seen", end=False)
+            stream = app.send_request("PUT", ACK, b"seen", end_stream=False)
             app.session.send_headers(stream, [trailer], end_stream=True)
             app.flush()
-            ends.append(app.answer(stream))
-        assert ends[0].status == 200 and ends[1].reset == PROTOCOL
+            ends.append(app.read_response(stream))
+        assert ends[0].status == 200 and ends[1].reset_code == PROTOCOL
 
 
 def test_data_after_the_end_of_a_request_is_an_error_and_runs_nothing_twice() -> None:
     with site(delayed({"alert-ack": 0.2})) as testbed:
         app = testbed.app()
-        stream = app.ask("PUT", ACK, b"seen")
-        app.raw(DataFrame(stream, b"more"))
+        stream = app.send_request("PUT", ACK, b"seen")
+        app.send_frames(DataFrame(stream, b"more"))
         try:
-            response = app.answer(stream)
-            assert response.reset >= 0 or response.status == 200
+            response = app.read_response(stream)
+            assert response.reset_code >= 0 or response.status == 200
         except EOFError:
             assert app.goaways
         eventually(lambda: testbed.count("disconnected") + testbed.count("answered.served") == 1)
@@ -254,32 +258,35 @@
 def test_expect_100_continue_is_answered_before_the_body() -> None:
     with site() as testbed:
         app = testbed.app()
-        stream = app.ask("PUT", ACK, end=False, expect="100-continue")
-        app.until(lambda: app.informed == [stream])
+        stream = app.send_request("PUT", ACK, end_stream=False, expect="100-continue")
+        app.read_until(lambda: app.informational_streams == [stream])
         app.session.send_data(stream, b"seen", end_stream=True)
         app.flush()
-        assert app.answer(stream).status == 200
+        assert app.read_response(stream).status == 200
 
 
 def test_incomplete_body_gets_408() -> None:
     with site(body_ms=200) as testbed:
         app = testbed.app()
-        assert app.answer(app.ask("PUT", ACK, b"half", end=False)).status == 408
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("PUT", ACK, b"half", end_stream=False)).status == 408
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
 
 
 def test_cdni_front_serves_http2() -> None:
     with site(cdni_listen="127.0.0.1:0") as testbed:
         app = App(testbed.node.http2[1].sock.getsockname())
         testbed.apps.append(app)
-        assert app.answer(app.ask("GET", "/alive")).status == 200
-        index = app.answer(app.ask("GET", "/metadata/hostindex"))
+        assert app.read_response(app.send_request("GET", "/alive")).status == 200
+        index = app.read_response(app.send_request("GET", "/metadata/hostindex"))
         assert index.status == 200 and "ptype=MI.HostIndex" in index.headers["content-type"]
-        calls = [app.ask("GET", f"/content/own/maps/{n:016x}") for n in range(20)]
+        calls = [app.send_request("GET", f"/content/own/maps/{n:016x}") for n in range(20)]
         for n, call in enumerate(calls):
-            assert app.answer(call).body == content(f"{n:016x}", "0", 12_000)
-        assert app.answer(app.ask("GET", "/content/other/maps/x")).status == 404
-        assert app.answer(app.ask("POST", "/triggers", b"{", content_type="text/plain")).status == 415
+            assert app.read_response(call).body == content(f"{n:016x}", "0", 12_000)
+        assert app.read_response(app.send_request("GET", "/content/other/maps/x")).status == 404
+        assert (
+            app.read_response(app.send_request("POST", "/triggers", b"{", content_type="text/plain")).status
+            == 415
+        )
 
 
 # Alert-acks run once
@@ -288,19 +295,19 @@
 def test_alert_ack_reset_before_during_and_after_its_attempt_ends_once() -> None:
     with site(delayed({"alert-ack": 0.15})) as testbed:
         app = testbed.app()
-        before = app.ask("PUT", ACK, b"half", end=False)
+        before = app.send_request("PUT", ACK, b"half", end_stream=False)
         app.reset(before)
-        in_flight = app.ask("PUT", ACK, b"whole")
+        in_flight = app.send_request("PUT", ACK, b"whole")
         eventually(lambda: testbed.member_requests("alert-ack") == 1)
         app.reset(in_flight)
         eventually(lambda: testbed.count("disconnected") == 1)
-        answered = app.ask("PUT", ACK, b"whole")
-        assert app.answer(answered).status == 200
+        answered = app.send_request("PUT", ACK, b"whole")
+        assert app.read_response(answered).status == 200
         try:
             app.reset(answered)
         except Exception:  # the library rejects a reset of a closed stream, so send the frame directly
-            app.raw(RstStreamFrame(answered, error_code=8))
-        assert app.answer(app.ask("GET", TILE)).status == 200
+            app.send_frames(RstStreamFrame(answered, error_code=8))
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         assert testbed.member_requests("alert-ack") == 2 and testbed.fleet.ran["00000000000000ac"] <= 2
         assert testbed.count("received.alert-ack") == 2
         assert testbed.count("disconnected") + testbed.count("answered.served") == 3, (
@@ -312,12 +319,12 @@
     with site(delayed({"alert-ack": 0.1})) as testbed:
         app = testbed.app()
         for n in range(10):
-            app.ask("PUT", f"/ops/alert-ack/{n:016x}", b"seen")
+            app.send_request("PUT", f"/ops/alert-ack/{n:016x}", b"seen")
         eventually(lambda: testbed.member_requests("alert-ack") == 10)
         app.close()
         eventually(lambda: testbed.count("disconnected") == 10)
         other = testbed.app()
-        assert other.answer(other.ask("GET", TILE)).status == 200
+        assert other.read_response(other.send_request("GET", TILE)).status == 200
         assert testbed.member_requests("alert-ack") == 10 and set(testbed.fleet.ran.values()) <= {1}
         assert testbed.count("answered.served") == 1
         eventually(lambda: not testbed.node.core.requests_in_flight)  # attempts in flight run to their end
@@ -327,19 +334,19 @@
     with site(delayed({"map-tiles": 0.2, "alert-ack": 0.2})) as testbed:
         app = testbed.app()
         name = "0123456789abcdef"
-        same_request = [app.ask("GET", TILE, req_id=name) for _ in range(2)]
-        other = app.ask("GET", VIDEO, req_id=name)
-        assert [app.answer(stream).status for stream in same_request] == [200, 200], (
+        same_request = [app.send_request("GET", TILE, req_id=name) for _ in range(2)]
+        other = app.send_request("GET", VIDEO, req_id=name)
+        assert [app.read_response(stream).status for stream in same_request] == [200, 200], (
             "a repeated read is served"
         )
-        assert app.answer(other).status == 409
-        first = app.ask("PUT", ACK, b"seen", req_id=name)
+        assert app.read_response(other).status == 409
+        first = app.send_request("PUT", ACK, b"seen", req_id=name)
         eventually(lambda: testbed.member_requests("alert-ack") == 1)
         with socket.create_connection(testbed.http1, timeout=5) as sock:
             lines = ["Host: x", f"Req-Id: {name}", "Req-Wait-Ms: 2000", "Content-Length: 4", "", "seen"]
             sock.sendall("\r\n".join([f"PUT {ACK} HTTP/1.1", *lines]).encode())
             assert b" 409 " in sock.recv(1000)
-        assert app.answer(first).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
+        assert app.read_response(first).status == 200 and testbed.fleet.ran == {"00000000000000ac": 1}
 
 
 # Floods
@@ -351,33 +358,33 @@
         encoder = Encoder()
         frames = []
         for n in range(10_000):
-            head = HeadersFrame(2 * n + 1, encoder.encode(app.fields("GET", f"{TILE}?nth={n}")))
+            head = HeadersFrame(2 * n + 1, encoder.encode(app.request_headers("GET", f"{TILE}?nth={n}")))
             head.flags |= {"END_HEADERS", "END_STREAM"}
             frames += [head, RstStreamFrame(2 * n + 1, error_code=8)]
         try:
-            app.raw(*frames)
+            app.send_frames(*frames)
         except OSError:
             pass
-        assert (0, CALM) in [(0, code) for _, code in app.end()] or app.closed
+        assert (0, CALM) in [(0, code) for _, code in app.read_until_closed()] or app.closed
         eventually(lambda: testbed.count("http2.ended.calm") == 1)
         assert testbed.count("http2.streams") < 1000 and testbed.member_requests("map-tiles") < 1000
-        assert good.answer(good.ask("GET", VIDEO)).status == 200
+        assert good.read_response(good.send_request("GET", VIDEO)).status == 200
         eventually(lambda: not testbed.node.core.requests_in_flight)
 
 
 def connected_app(testbed: Site) -> App:
     app = testbed.app()
-    assert app.answer(app.ask("GET", TILE)).status == 200
+    assert app.read_response(app.send_request("GET", TILE)).status == 200
     return app
 
 
 def assert_calmed(app: App, *frames: Frame | bytes) -> None:
     """Send the frames, and check that the connection ends with ENHANCE_YOUR_CALM."""
     try:
-        app.raw(*frames)
+        app.send_frames(*frames)
     except OSError:
         pass
-    assert [code for _, code in app.end()] == [CALM]
+    assert [code for _, code in app.read_until_closed()] == [CALM]
 
 
 def settings(n: int) -> Frame:
@@ -387,7 +394,9 @@
 FLOODS: dict[str, Callable[[App], Sequence[Frame | bytes]]] = {
     "ping": lambda app: [PingFrame(0, b"%08d" % n) for n in range(1000)],
     "settings": lambda app: [settings(n) for n in range(1000)],
-    "empty data": lambda app: [DataFrame(app.ask("PUT", ACK, end=False), b"") for _ in range(1)] * 1000,
+    "empty data": lambda app: (
+        [DataFrame(app.send_request("PUT", ACK, end_stream=False), b"") for _ in range(1)] * 1000
+    ),
     "window": lambda app: [WindowUpdateFrame(0, window_increment=1) for _ in range(20_000)],
     "unknown": lambda app: [b"\x00\x00\x00\x42\x00\x00\x00\x00\x00" for _ in range(1000)],
 }
@@ -409,17 +418,17 @@
         frames: list[Frame] = [HeadersFrame(3, block)]
         frames += [ContinuationFrame(3, b"\x00" * 16_000) for _ in range(4)]
         try:
-            app.raw(*frames)
+            app.send_frames(*frames)
         except OSError:
             pass
-        assert app.end() and app.goaways[0][1] in (CALM, PROTOCOL)
+        assert app.read_until_closed() and app.goaways[0][1] in (CALM, PROTOCOL)
         app = connected_app(testbed)
         frames = [HeadersFrame(3, block), *(ContinuationFrame(3, b"") for _ in range(1000))]
         try:
-            app.raw(*frames)
+            app.send_frames(*frames)
         except OSError:
             pass
-        assert app.end() and app.goaways[0][1] in (CALM, PROTOCOL)
+        assert app.read_until_closed() and app.goaways[0][1] in (CALM, PROTOCOL)
         app = connected_app(testbed)
         # One entry of 4,000 bytes in the HPACK table, and a thousand references of one byte to it.
         bomb = Encoder().encode([(b"x", b"y" * 3900)])
@@ -450,7 +459,7 @@
     with site(first_ms=150, idle_ms=150) as testbed:
         silent = socket.create_connection(testbed.http2, timeout=5)
         app = connected_app(testbed)
-        assert app.end() == [((1 << 31) - 1, NO_ERROR), (1, NO_ERROR)]
+        assert app.read_until_closed() == [((1 << 31) - 1, NO_ERROR), (1, NO_ERROR)]
         while silent.recv(1000):
             pass
         eventually(lambda: not testbed.front.connections)
@@ -462,85 +471,88 @@
 
 def test_closed_stream_window_resets_only_its_stream() -> None:
     with site(window_shut_ms=300) as testbed:
-        app = testbed.app(window=0, read=False)
-        shut = app.ask("GET", VIDEO)
-        open_ = app.ask("GET", TILE)
+        app = testbed.app(window=0, auto_window_update=False)
+        shut = app.send_request("GET", VIDEO)
+        open_ = app.send_request("GET", TILE)
         app.session.increment_flow_control_window(20_000, open_)
         app.flush()
-        assert app.answer(open_).status == 200
-        assert app.answer(shut).reset == 8
+        assert app.read_response(open_).status == 200
+        assert app.read_response(shut).reset_code == 8
         eventually(lambda: testbed.front.stream_table.bytes == 0 and testbed.front.stream_table.open == 0)
 
 
 def test_window_updates_of_one_byte_do_not_keep_a_stream_open() -> None:
     with site(window_shut_ms=300) as testbed:
-        app = testbed.app(window=0, read=False)
-        stream = app.ask("GET", VIDEO)
+        app = testbed.app(window=0, auto_window_update=False)
+        stream = app.send_request("GET", VIDEO)
         started = time.monotonic()
-        while not app.streams[stream].over():
+        while not app.streams[stream].has_ended():
             assert time.monotonic() - started < 5
             app.session.increment_flow_control_window(1, stream)
             app.flush()
             try:
-                app.until(app.streams[stream].over, 0.01)
+                app.read_until(app.streams[stream].has_ended, 0.01)
             except TimeoutError:
                 pass
-        assert app.streams[stream].reset == 8 and 0 < len(app.streams[stream].body) < 1024
+        assert app.streams[stream].reset_code == 8 and 0 < len(app.streams[stream].body) < 1024
 
 
 def test_stream_without_window_does_not_block_other_streams() -> None:
     with site() as testbed:
-        app = testbed.app(window=30_000, read=False)
+        app = testbed.app(window=30_000, auto_window_update=False)
         app.session.increment_flow_control_window(16 << 20)
-        stalled = app.ask("GET", VIDEO)
-        app.until(lambda: len(app.streams[stalled].body) == 30_000)
+        stalled = app.send_request("GET", VIDEO)
+        app.read_until(lambda: len(app.streams[stalled].body) == 30_000)
         for n in range(30):
-            assert len(app.answer(app.ask("GET", f"{TILE}?nth={n}")).body) == 12_000
-        assert not app.streams[stalled].over()
+            assert len(app.read_response(app.send_request("GET", f"{TILE}?nth={n}")).body) == 12_000
+        assert not app.streams[stalled].has_ended()
         app.session.increment_flow_control_window(120_000, stalled)
         app.flush()
-        assert app.answer(stalled).body == content("00000000000000bb", "0", 120_000)
+        assert app.read_response(stalled).body == content("00000000000000bb", "0", 120_000)
 
 
 def test_settings_may_shrink_the_window_below_the_bytes_in_flight() -> None:
     with site() as testbed:
-        app = testbed.app(window=50_000, read=False)
-        stream = app.ask("GET", VIDEO)
-        app.until(lambda: len(app.streams[stream].body) == 50_000)
+        app = testbed.app(window=50_000, auto_window_update=False)
+        stream = app.send_request("GET", VIDEO)
+        app.read_until(lambda: len(app.streams[stream].body) == 50_000)
         app.session.update_settings({4: 10_000})  # the stream's window is now -40,000
         app.session.increment_flow_control_window(1 << 20)
         app.flush()
-        assert len(app.answer(app.ask("GET", "/alive")).headers) and not app.streams[stream].over()
+        assert (
+            len(app.read_response(app.send_request("GET", "/alive")).headers)
+            and not app.streams[stream].has_ended()
+        )
         app.session.increment_flow_control_window(40_000, stream)  # and now 0
         app.flush()
         with pytest.raises(TimeoutError):
-            app.until(lambda: len(app.streams[stream].body) > 50_000, 0.2)
+            app.read_until(lambda: len(app.streams[stream].body) > 50_000, 0.2)
         app.session.increment_flow_control_window(80_000, stream)
         app.flush()
-        app.until(lambda: app.streams[stream].ended)
+        app.read_until(lambda: app.streams[stream].ended)
         assert app.streams[stream].body == content("00000000000000bb", "0", 120_000)
 
 
 def test_window_overflow_is_a_flow_control_error() -> None:
     with site() as testbed:
-        app = testbed.app(window=0, read=False)
-        stream = app.ask("GET", VIDEO)
-        app.until(lambda: app.streams[stream].heads == 1)
-        app.raw(
+        app = testbed.app(window=0, auto_window_update=False)
+        stream = app.send_request("GET", VIDEO)
+        app.read_until(lambda: app.streams[stream].response_count == 1)
+        app.send_frames(
             WindowUpdateFrame(stream, window_increment=(1 << 31) - 1),
             WindowUpdateFrame(stream, window_increment=9),
         )
-        assert app.answer(stream).reset == 3 or app.goaways
+        assert app.read_response(stream).reset_code == 3 or app.goaways
         app = connected_app(testbed)
-        app.raw(*(WindowUpdateFrame(0, window_increment=(1 << 31) - 1) for _ in range(2)))
-        assert [code for _, code in app.end()] == [3]
+        app.send_frames(*(WindowUpdateFrame(0, window_increment=(1 << 31) - 1) for _ in range(2)))
+        assert [code for _, code in app.read_until_closed()] == [3]
 
 
 def test_closed_connection_window_ends_the_connection() -> None:
     with site(window_shut_ms=200) as testbed:
-        app = testbed.app(read=False)
-        stream = app.ask("GET", VIDEO)
-        assert [code for _, code in app.end()] == [CALM]
+        app = testbed.app(auto_window_update=False)
+        stream = app.send_request("GET", VIDEO)
+        assert [code for _, code in app.read_until_closed()] == [CALM]
         assert not app.streams[stream].ended and connected_app(testbed)
 
 
@@ -550,13 +562,13 @@
 def test_one_client_can_not_use_the_share_of_another() -> None:
     with site(delayed({"map-tiles": 0.3}), open_requests=40) as testbed:
         greedy, other = testbed.app(), testbed.app()
-        many = [greedy.ask("GET", f"{TILE}?nth={n}") for n in range(40)]
+        many = [greedy.send_request("GET", f"{TILE}?nth={n}") for n in range(40)]
         eventually(lambda: testbed.count("http2.streams") == 40)
-        few = [other.ask("GET", f"{TILE}?nth={100 + n}") for n in range(9)]
-        responses = [greedy.answer(stream) for stream in many]
+        few = [other.send_request("GET", f"{TILE}?nth={100 + n}") for n in range(9)]
+        responses = [greedy.read_response(stream) for stream in many]
         assert sum(stream.status in (200, 503) for stream in responses) == 20
-        assert [stream.reset for stream in responses].count(REFUSED) == 20
-        assert all(other.answer(stream).status in (200, 503) for stream in few), (
+        assert [stream.reset_code for stream in responses].count(REFUSED) == 20
+        assert all(other.read_response(stream).status in (200, 503) for stream in few), (
             "the front refuses none of them"
         )
 
@@ -567,24 +579,26 @@
         all_kib=256,
         connection_kib=256,
     ) as testbed:
-        app = testbed.app(window=0, read=False)
-        first = app.ask("GET", VIDEO)
-        app.until(lambda: app.streams[first].heads == 1)
-        second = app.answer(app.ask("GET", f"{VIDEO}?nth=1"))
+        app = testbed.app(window=0, auto_window_update=False)
+        first = app.send_request("GET", VIDEO)
+        app.read_until(lambda: app.streams[first].response_count == 1)
+        second = app.read_response(app.send_request("GET", f"{VIDEO}?nth=1"))
         # The connection is over its share now: the stream is refused, or rejected with a retry time.
-        assert second.reset == REFUSED or (second.status == 503 and second.headers["srv-wait-ms"] == "500")
+        assert second.reset_code == REFUSED or (
+            second.status == 503 and second.headers["srv-wait-ms"] == "500"
+        )
         other = testbed.app()
-        assert other.answer(other.ask("PUT", ACK, b"seen")).status == 200
+        assert other.read_response(other.send_request("PUT", ACK, b"seen")).status == 200
 
 
 def test_idle_connection_is_evicted_for_a_new_one_at_the_limit() -> None:
     with site(connections=3) as testbed:
         idle = [connected_app(testbed) for _ in range(3)]
         with pytest.raises(TimeoutError):
-            idle[0].until(lambda: False, 0.2)  # no eviction until a new connection needs the place
+            idle[0].read_until(lambda: False, 0.2)  # no eviction until a new connection needs the place
         newcomer = connected_app(testbed)
-        assert idle[0].end()[-1][1] == NO_ERROR
-        assert newcomer.answer(newcomer.ask("GET", TILE)).status == 200
+        assert idle[0].read_until_closed()[-1][1] == NO_ERROR
+        assert newcomer.read_response(newcomer.send_request("GET", TILE)).status == 200
 
 
 # End of connections
@@ -593,36 +607,38 @@
 def test_drain_answers_requests_in_flight_and_refuses_later_streams() -> None:
     with site(delayed({"map-tiles": 0.8}), streams=200) as testbed:
         app = testbed.app()
-        app.until(lambda: app.session.remote_settings.max_concurrent_streams == 200)
-        streams = [app.ask("GET", f"{TILE}?nth={n}") for n in range(100)]
+        app.read_until(lambda: app.session.remote_settings.max_concurrent_streams == 200)
+        streams = [app.send_request("GET", f"{TILE}?nth={n}") for n in range(100)]
         eventually(lambda: testbed.count("received.map-tiles") == 100)
         testbed.stop()
-        app.until(lambda: len(app.goaways) == 1)
+        app.read_until(lambda: len(app.goaways) == 1)
         assert app.goaways == [((1 << 31) - 1, NO_ERROR)]
-        between = app.ask("GET", f"{TILE}?nth=100")
-        app.until(lambda: len(app.goaways) == 2)
+        between = app.send_request("GET", f"{TILE}?nth=100")
+        app.read_until(lambda: len(app.goaways) == 2)
         last = app.goaways[1][0]
-        late = app.ask("GET", f"{TILE}?nth=101")
+        late = app.send_request("GET", f"{TILE}?nth=101")
         assert late > last
-        assert {app.answer(stream).status for stream in streams} <= {200, 503}, "each request is answered"
+        assert {app.read_response(stream).status for stream in streams} <= {200, 503}, (
+            "each request is answered"
+        )
         response = app.streams[between]
         if between <= last:
-            assert app.answer(between).status in (200, 503)
-        assert response.over() or between > last
-        assert app.streams[late].reset in (REFUSED, -1) and not app.streams[late].heads
-        assert app.end() and len(app.goaways) == 2
+            assert app.read_response(between).status in (200, 503)
+        assert response.has_ended() or between > last
+        assert app.streams[late].reset_code in (REFUSED, -1) and not app.streams[late].response_count
+        assert app.read_until_closed() and len(app.goaways) == 2
         testbed.wait_stopped()
 
 
 def test_stream_between_the_two_goaways_is_served() -> None:
     with site(delayed({"map-tiles": 0.2})) as testbed:
         app = testbed.app()
-        app.ask("GET", TILE)
+        app.send_request("GET", TILE)
         eventually(lambda: testbed.count("received.map-tiles") == 1)
         testbed.front.drain()  # the app has not read it, nor answered the PING
-        between = app.ask("GET", f"{TILE}?nth=1")
-        assert app.answer(between).status in (200, 503)
-        assert app.end()[-1] == (between, NO_ERROR)
+        between = app.send_request("GET", f"{TILE}?nth=1")
+        assert app.read_response(between).status in (200, 503)
+        assert app.read_until_closed()[-1] == (between, NO_ERROR)
 
 
 def test_drain_serves_streams_read_before_the_last_goaway() -> None:
@@ -634,13 +650,13 @@
         conn.wire.session.highest_inbound_stream_id = 3  # read, but not handled yet
         conn.begin_drain(immediately=True)
         assert app.streams and conn.last_stream == 3
-        conn.on_headers(3, app.fields("GET", TILE))
+        conn.on_headers(3, app.request_headers("GET", TILE))
         assert conn.open_exchanges.pop(3).request.target == TILE, "not refused: the last GOAWAY accepts it"
         conn.check_drain(now_us())
         assert not conn.wire.ended
         conn.wire.is_calling = False
         conn.check_drain(now_us())
-        assert conn.wire.ended and app.end()
+        assert conn.wire.ended and app.read_until_closed()
 
 
 def test_drain_does_not_end_a_connection_while_an_answer_is_being_framed(
@@ -666,7 +682,7 @@
             "http2_fields",
             SimpleNamespace(parse_request=http2_fields.parse_request, encode_response=slow_answer),
         )
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         checks[0].join()
 
 
@@ -684,7 +700,7 @@
             return True
 
         monkeypatch.setattr(conn.wire, "send", send)
-        app.ask("GET", TILE)
+        app.send_request("GET", TILE)
         assert results.get(timeout=5.0)
         monkeypatch.undo()
 
@@ -697,7 +713,7 @@
         for conn in conns:
             conn.begin_drain(immediately=True)
         eventually(lambda: all(conn.wire.ended for conn in conns))
-        app.ask("GET", TILE)  # arrives after the server's end, and is read
+        app.send_request("GET", TILE)  # arrives after the server's end, and is read
         assert testbed.front.busy() and all(conn.wire.is_lingering() for conn in conns)
         app.close()
         eventually(lambda: not conns[0].wire.is_lingering())
@@ -710,7 +726,7 @@
     with site(Terms(sizes={"river-video": 240_000, "map-tiles": 100, "alert-ack": 40})) as testbed:
         app = testbed.app(window=1 << 24)
         for n in range(60):
-            app.ask("GET", f"{VIDEO}?nth={n}")
+            app.send_request("GET", f"{VIDEO}?nth={n}")
         eventually(lambda: testbed.member_requests("river-video") >= 30)
         started = time.monotonic()
         testbed.stop()
@@ -724,9 +740,9 @@
         app = testbed.app()
         answered = 0
         while not app.goaways:
-            assert app.answer(app.ask("GET", TILE)).status == 200
+            assert app.read_response(app.send_request("GET", TILE)).status == 200
             answered += 1
-        assert answered and app.end()[-1][1] == NO_ERROR
+        assert answered and app.read_until_closed()[-1][1] == NO_ERROR
 
 
 def test_sighup_applies_new_limits_and_logs_settings_that_need_a_restart(
@@ -752,15 +768,15 @@
 def test_evacuate_drains_connections_and_rejoin_accepts_new_ones() -> None:
     with site() as testbed:
         app = testbed.app()
-        assert app.answer(app.ask("GET", TILE)).status == 200
+        assert app.read_response(app.send_request("GET", TILE)).status == 200
         assert testbed.node.admin_service.evacuate().status == 200
-        app.until(lambda: bool(app.goaways))
-        assert app.end()[-1][1] == NO_ERROR
+        app.read_until(lambda: bool(app.goaways))
+        assert app.read_until_closed()[-1][1] == NO_ERROR
         late = testbed.app()  # clients may still connect for a moment
-        assert late.answer(late.ask("GET", TILE)).status == 200
-        late.until(lambda: bool(late.goaways))
+        assert late.read_response(late.send_request("GET", TILE)).status == 200
+        late.read_until(lambda: bool(late.goaways))
         assert testbed.node.admin_service.rejoin().status == 200
         back = testbed.app()
-        assert back.answer(back.ask("GET", TILE)).status == 200
+        assert back.read_response(back.send_request("GET", TILE)).status == 200
         time.sleep(0.3)  # longer than the grace time after which a draining connection gets its last GOAWAY
-        assert back.answer(back.ask("GET", TILE)).status == 200 and not back.goaways
+        assert back.read_response(back.send_request("GET", TILE)).status == 200 and not back.goaways
--- a/tests/test_http2_limits.py
+++ b/tests/test_http2_limits.py
@@ -29,10 +29,10 @@
 def request_hundred(app: App, number: int, failures: list[BaseException]) -> None:
     """Send a hundred requests on one connection; append any error to `failures`."""
     try:
-        app.until(lambda: app.session.remote_settings.max_concurrent_streams == 100, PATIENCE_S)
+        app.read_until(lambda: app.session.remote_settings.max_concurrent_streams == 100, PATIENCE_S)
         for n in range(100):
-            app.ask("GET", f"/ops/map-tiles/{number:08x}{n:08x}")
-        app.until(lambda: all(stream.over() for stream in app.streams.values()), PATIENCE_S)
+            app.send_request("GET", f"/ops/map-tiles/{number:08x}{n:08x}")
+        app.read_until(lambda: all(stream.has_ended() for stream in app.streams.values()), PATIENCE_S)
     except (OSError, EOFError) as error:
         failures.append(error)
 
@@ -54,10 +54,12 @@
             threads = [*threads[1:], threads[0]]
         assert not failures, (len(failures), failures[0])
         streams = [stream for app in apps for stream in app.streams.values()]
-        assert len(streams) == 10_000 and all(stream.over() for stream in streams)
+        assert len(streams) == 10_000 and all(stream.has_ended() for stream in streams)
         served = sum(stream.status == 200 for stream in streams)
         # Under such a load the decisions reject requests, too; each stream must end in a known way.
-        known_ends = sum(stream.status in (200, 429, 502, 503) or stream.reset == 7 for stream in streams)
+        known_ends = sum(
+            stream.status in (200, 429, 502, 503) or stream.reset_code == 7 for stream in streams
+        )
         assert known_ends == 10_000 and served > 0
         status = Path(f"/proc/{router.process.pid}/status").read_text()
         peak_kib = int(status.split("VmHWM:")[1].split()[0])
--- a/tests/test_http2_many.py
+++ b/tests/test_http2_many.py
@@ -44,20 +44,20 @@
             cls = random.choices(("river-video", "map-tiles", "alert-ack"), (3, 5, 2))[0]
             item = f"{self.number:08x}{n:08x}"
             body = b"seen" * random.randrange(1, 50) if cls == "alert-ack" else None
-            stream = app.ask("PUT" if body else "GET", f"/ops/{cls}/{item}", body)
+            stream = app.send_request("PUT" if body else "GET", f"/ops/{cls}/{item}", body)
             self.kinds[stream] = (cls, item, "0")
             if random.random() < 0.15:
                 victim = random.choice(list(self.kinds))
-                if not app.streams[victim].over():
+                if not app.streams[victim].has_ended():
                     app.reset(victim)
             if self.reads_slowly:
                 time.sleep(0.001)
             if self.disconnects and n == self.streams // 2:
                 app.close()
                 return
-            while sum(not record.over() for record in app.streams.values()) > 40:
-                app.until(lambda: sum(not record.over() for record in app.streams.values()) <= 40)
-        app.until(lambda: all(record.over() for record in app.streams.values()))
+            while sum(not record.has_ended() for record in app.streams.values()) > 40:
+                app.read_until(lambda: sum(not record.has_ended() for record in app.streams.values()) <= 40)
+        app.read_until(lambda: all(record.has_ended() for record in app.streams.values()))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -81,13 +81,13 @@
         for client in clients:
             for stream, (cls, item, part) in client.kinds.items():
                 response = client.app.streams[stream]
-                assert response.heads <= 1
+                assert response.response_count <= 1
                 if response.ended:
                     assert response.status in (200, 429, 502, 503)
                     if response.status == 200:
                         assert response.body == content(item, part, SIZES[cls])
                     end_counts["served" if response.status == 200 else "refused"] += 1
-                elif response.reset >= 0:
+                elif response.reset_code >= 0:
                     end_counts["reset"] += 1
                 else:
                     last = min((last for last, _ in client.app.goaways), default=0)
@@ -141,10 +141,10 @@
     for n in range(6):
         cls = random.choice(("map-tiles", "alert-ack"))
         body = b"seen" if cls == "alert-ack" else None
-        app.ask("PUT" if body else "GET", f"/ops/{cls}/{name}{n:04x}", body)
-    app.raw(corrupt(b"".join(recorded), random))
+        app.send_request("PUT" if body else "GET", f"/ops/{cls}/{name}{n:04x}", body)
+    app.send_frames(corrupt(b"".join(recorded), random))
     if random.random() < 0.5:
-        app.raw(RstStreamFrame(1, error_code=8))
+        app.send_frames(RstStreamFrame(1, error_code=8))
     app.sock.shutdown(socket.SHUT_WR)
     app.sock.settimeout(5)
     try:
@@ -165,8 +165,14 @@
         for round_ in range(40):
             send_corrupted_frames(App(testbed.http2), f"{seed:04x}{round_:08x}", random)
             if round_ % 10 == 0:
-                assert healthy.answer(healthy.ask("GET", f"/ops/map-tiles/{round_:016x}")).status == 200
-        assert healthy.answer(healthy.ask("GET", "/ops/map-tiles/00000000000000aa")).status == 200
+                assert (
+                    healthy.read_response(healthy.send_request("GET", f"/ops/map-tiles/{round_:016x}")).status
+                    == 200
+                )
+        assert (
+            healthy.read_response(healthy.send_request("GET", "/ops/map-tiles/00000000000000aa")).status
+            == 200
+        )
         healthy.close()
         eventually(lambda: not testbed.front.connections and not testbed.node.core.requests_in_flight, 8.0)
         assert testbed.front.stream_table.open == 0 and testbed.front.stream_table.bytes == 0
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -390,15 +390,15 @@
         self.fleet.on_call = self.calls.append
         self.router = Router(self.fleet, OPERATOR)
         self.app = App(self.router.http2)
-        self.app.until(lambda: self.app.session.remote_settings.max_concurrent_streams == 100)
-        self.app.answer(self.app.ask("GET", "/ops/map-tiles/00000000000000ff"))
+        self.app.read_until(lambda: self.app.session.remote_settings.max_concurrent_streams == 100)
+        self.app.read_response(self.app.send_request("GET", "/ops/map-tiles/00000000000000ff"))
         self.calls.clear()
 
     def send(self, number: int) -> None:
-        self.app.ask("GET", f"/ops/map-tiles/{number:016x}", Req_Id=wire_id(number))
+        self.app.send_request("GET", f"/ops/map-tiles/{number:016x}", Req_Id=wire_id(number))
 
     def read_answers(self) -> None:
-        self.app.until(lambda: all(stream.over() for stream in self.app.streams.values()))
+        self.app.read_until(lambda: all(stream.has_ended() for stream in self.app.streams.values()))
 
     def close(self) -> None:
         self.app.close()
