--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -82,9 +82,14 @@
     """A router and its stand-ins on loopback addresses, for one scenario."""
 
     def __init__(
-        self, cdni: str = "", link: float = 0.0, tmp: str = "", settings: Any = None, **limits: object
+        self,
+        cdni: str = "",
+        link_bytes_per_s: float = 0.0,
+        tmp: str = "",
+        settings: Any = None,
+        **limits: object,
     ) -> None:
-        self.link = link
+        self.link_bytes_per_s = link_bytes_per_s
         self.member_messages: Queue[tuple[str, socket.socket, list[str]]] = Queue()
         self.named_attempts: dict[str, tuple[socket.socket, str]] = {}
         self.clients: dict[str, MessageReader] = {}
@@ -98,9 +103,13 @@
         self.members = {name: listen(self.member_server(name)) for name in HOSTS}
         self.cdn_listeners = {name: listen(self.cdn_server(name)) for name in ("up", "down")}
         self.variables |= {name: f"http://{at(sock)}" for name, sock in self.cdn_listeners.items()}
-        board = self.new_discovery_listener()
+        discovery_listener = self.new_discovery_listener()
         self.data = deployment.configuration(
-            {name: at(sock) for name, sock in self.members.items()}, at(board), "127.0.0.1:0", link, **limits
+            {name: at(sock) for name, sock in self.members.items()},
+            at(discovery_listener),
+            "127.0.0.1:0",
+            link_bytes_per_s,
+            **limits,
         )
         self.data["settings"] = settings or self.data["settings"]
         self.data["admin_addr"] = "127.0.0.1:0"
@@ -289,7 +298,7 @@
         else:
             self.named_attempts[name][0].shutdown(socket.SHUT_RDWR)
 
-    def staff(self, verb: str, method: str, target: str, status: str, *words: str) -> None:
+    def operator(self, verb: str, method: str, target: str, status: str, *words: str) -> None:
         """Act as an operator: call METHOD TARGET, with the expected status and fields of the answer."""
         assert verb == "call" and self.node.admin is not None
         with socket.create_connection(self.node.admin.sock.getsockname()) as sock:
@@ -302,7 +311,7 @@
                 assert_matches(field, body.strip() if field == "body" else headers.get(field, ""), pattern)
             assert not sock.recv(1), "the connection is not closed after one call"
 
-    def board(self, verb: str, *words: str) -> None:
+    def discovery(self, verb: str, *words: str) -> None:
         """Act as discovery: expect a watch, send a line or half of one, close; applied N: wait until the core
         has all events up to revision N.
         """
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -32,31 +32,31 @@
 
 def test_calls_are_answered_with_status_and_text() -> None:
     Scenario().run(f"""
-        staff call GET /api/ready 200 body:ready*
-        staff call POST /api/ready 405 allow:GET
-        staff call GET /api/exclude?name=s-1 405 allow:POST
-        staff call GET /api/nothing 404
-        staff call GET / 404
-        staff call GET {TILE} 404
-        staff call POST /api/exclude 400 body:name=ID*
-        staff call POST /api/exclude?name= 400
-        staff call POST /api/exclude?name=s-1&name=s-2 400 body:*once*
-        staff call POST /api/exclude?nome=s-1 400
-        staff call POST /api/exclude?name=%zz 400
-        staff call POST /api/exclude?name=%ff 400
-        staff call POST /api/exclude?name=s-9 404
-        staff call POST /api/include?name=s-9 404
-        staff call POST /api/exclude?name=o-1 409 body:*origin*
-        staff call POST /api/exclude?name=%73-1 200 body:out*
-        staff call POST /api/exclude?name=s-1 200 body:out*already*
-        staff call POST /api/include?name=s-1 200 body:back*
-        staff call POST /api/include?name=s-1 200 body:was*not*out*
-        staff call POST /api/evacuate 200
-        staff call POST /api/evacuate 200
-        staff call GET /api/ready 503 body:evacua*
-        staff call POST /api/rejoin 200
-        staff call POST /api/rejoin 200
-        staff call GET /api/ready 200
+        operator call GET /api/ready 200 body:ready*
+        operator call POST /api/ready 405 allow:GET
+        operator call GET /api/exclude?name=s-1 405 allow:POST
+        operator call GET /api/nothing 404
+        operator call GET / 404
+        operator call GET {TILE} 404
+        operator call POST /api/exclude 400 body:name=ID*
+        operator call POST /api/exclude?name= 400
+        operator call POST /api/exclude?name=s-1&name=s-2 400 body:*once*
+        operator call POST /api/exclude?nome=s-1 400
+        operator call POST /api/exclude?name=%zz 400
+        operator call POST /api/exclude?name=%ff 400
+        operator call POST /api/exclude?name=s-9 404
+        operator call POST /api/include?name=s-9 404
+        operator call POST /api/exclude?name=o-1 409 body:*origin*
+        operator call POST /api/exclude?name=%73-1 200 body:out*
+        operator call POST /api/exclude?name=s-1 200 body:out*already*
+        operator call POST /api/include?name=s-1 200 body:back*
+        operator call POST /api/include?name=s-1 200 body:was*not*out*
+        operator call POST /api/evacuate 200
+        operator call POST /api/evacuate 200
+        operator call GET /api/ready 503 body:evacua*
+        operator call POST /api/rejoin 200
+        operator call POST /api/rejoin 200
+        operator call GET /api/ready 200
     """)
 
 
@@ -68,7 +68,7 @@
     for sock in silent[::2]:
         sock.sendall(b"GET /api/re")
     started_s = time.monotonic()
-    scenario.run("staff call GET /api/ready 200", close=False)
+    scenario.run("operator call GET /api/ready 200", close=False)
     assert time.monotonic() - started_s < 1.0
     for sock in silent:
         sock.close()
@@ -80,11 +80,11 @@
     with scenario.node.core.mailbox.turn_lock:  # a turn that does not return
         scenario.run(
             """
-            staff call GET /api/ready 200
-            staff call POST /api/exclude?name=s-1 200
-            staff call POST /api/include?name=s-1 200
-            staff call POST /api/evacuate 200
-            staff call POST /api/rejoin 200
+            operator call GET /api/ready 200
+            operator call POST /api/exclude?name=s-1 200
+            operator call POST /api/include?name=s-1 200
+            operator call POST /api/evacuate 200
+            operator call POST /api/rejoin 200
             """,
             close=False,
         )
@@ -99,9 +99,9 @@
     scenario = Scenario()
     scenario.run(
         """
-        board expect watch 1
-        staff call POST /api/exclude?name=s-1 200
-        staff call POST /api/exclude?name=s-1 200
+        discovery expect watch 1
+        operator call POST /api/exclude?name=s-1 200
+        operator call POST /api/exclude?name=s-1 200
         """,
         close=False,
     )
@@ -110,7 +110,7 @@
         rev = scenario.node.discovery.last_revision + 1
         line = "{line s-1 Ready}".replace("Ready", change.strip('"'))
         scenario.run(
-            f"""board send {{"rev":{rev},"pool":{{"whole":false,"seq":{rev},"hosts":[{line}]}}}}""", False
+            f"""discovery send {{"rev":{rev},"pool":{{"whole":false,"seq":{rev},"hosts":[{line}]}}}}""", False
         )
         eventually(lambda rev=rev: scenario.node.discovery.last_revision == rev)  # type: ignore[misc]
         eventually(lambda: scenario.node.member_table.mailbox.empty())
@@ -127,7 +127,7 @@
             """,
             close=False,
         )
-    scenario.run("staff call POST /api/include?name=s-1 200", close=False)
+    scenario.run("operator call POST /api/include?name=s-1 200", close=False)
     eventually(lambda: scenario.node.core.router.endpoints.by_id.get(banned_id) is not None)
     peer = scenario.node.core.router.endpoints.by_id[banned_id]
     assert (
@@ -141,13 +141,13 @@
 
 def test_ban_survives_a_restart_and_invalid_stored_bans_do_not_prevent_a_start(tmp_path: Path) -> None:
     scenario = Scenario(tmp=str(tmp_path))
-    scenario.run("staff call POST /api/exclude?name=s-2 200")
+    scenario.run("operator call POST /api/exclude?name=s-2 200")
     scenario = Scenario(tmp=str(tmp_path))
     assert scenario.node.member_table.banned == {member_id("s-2")}
     folder = scenario.node.admin_service.folder
     assert folder is not None
     bans_path = folder.bans_path
-    scenario.run("staff call POST /api/include?name=s-2 200")
+    scenario.run("operator call POST /api/include?name=s-2 200")
     assert banned_after_start(tmp_path) == frozenset()
     bans_path.write_bytes(b"")
     assert banned_after_start(tmp_path) == frozenset()
@@ -166,16 +166,16 @@
     folder = scenario.node.admin_service.folder
     assert folder is not None
     with folder.locked():
-        scenario.run("staff call POST /api/exclude?name=s-1 500 body:*not*kept*", close=False)
+        scenario.run("operator call POST /api/exclude?name=s-1 500 body:*not*kept*", close=False)
     assert scenario.node.member_table.banned == {member_id("s-1")}
-    scenario.run("staff call POST /api/exclude?name=s-2 200", close=False)
+    scenario.run("operator call POST /api/exclude?name=s-2 200", close=False)
     assert scenario.node.member_table.banned == {member_id("s-1"), member_id("s-2")}, (
         "the first ban is still in force"
     )
     assert set(parse(folder.bans_path.read_bytes()).excluded) == {"s-1", "s-2"}
     with folder.locked():
-        scenario.run("staff call POST /api/include?name=s-1 500", close=False)
-    scenario.run("staff call POST /api/exclude?name=s-2 200")
+        scenario.run("operator call POST /api/include?name=s-1 500", close=False)
+    scenario.run("operator call POST /api/exclude?name=s-2 200")
     assert set(parse(folder.bans_path.read_bytes()).excluded) == {"s-2"}
 
 
@@ -190,7 +190,7 @@
         client half send raw 'GET {TILE} HTT'
         client slow send GET {TILE} Req-Wait-Ms:4000
         cache expect w
-        staff call POST /api/evacuate 200
+        operator call POST /api/evacuate 200
         client used send GET {TILE}?nth=2
         cache expect v
         cache send v ok - two
@@ -210,8 +210,8 @@
     eventually(lambda: scenario.node.admin_service.lifecycle.phase.value == "evacuated")
     scenario.run(
         f"""
-        staff call POST /api/rejoin 200
-        staff call GET /api/ready 200
+        operator call POST /api/rejoin 200
+        operator call GET /api/ready 200
         client back send GET {TILE}?nth=4
         cache expect w
         cache send w ok - four
@@ -227,10 +227,10 @@
     for _ in range(3):
         scenario.run(
             """
-            staff call POST /api/evacuate 200
-            staff call GET /api/ready 503
-            staff call POST /api/rejoin 200
-            staff call GET /api/ready 200
+            operator call POST /api/evacuate 200
+            operator call GET /api/ready 503
+            operator call POST /api/rejoin 200
+            operator call GET /api/ready 200
             """,
             close=False,
         )
@@ -239,10 +239,10 @@
 
 def test_sigterm_while_evacuated_ends_the_process_and_rejoin_is_rejected() -> None:
     Scenario().run("""
-        staff call POST /api/evacuate 200
+        operator call POST /api/evacuate 200
         router send TERM
         wait 50
-        staff call POST /api/rejoin 409 body:stopping*
+        operator call POST /api/rejoin 409 body:stopping*
         router expect stopped
     """)
 
@@ -298,10 +298,12 @@
 def test_ban_applies_to_second_attempts_and_to_a_new_address() -> None:
     """An excluded cache that is listed again at another address gets no requests until it is included."""
     scenario = Scenario()
-    scenario.run("board expect watch 1\nstaff call POST /api/exclude?name=s-1 200", close=False)
+    scenario.run("discovery expect watch 1\noperator call POST /api/exclude?name=s-1 200", close=False)
     scenario.members["s-1 moved"] = listen(scenario.member_server("s-1 moved"))
     moved = json.dumps(scenario.host_entry("s-1", dial=at(scenario.members["s-1 moved"])))
-    scenario.run(f'board send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False)
+    scenario.run(
+        f'discovery send {{"rev":2,"pool":{{"whole":false,"seq":2,"hosts":[{moved}]}}}}', close=False
+    )
     eventually(
         lambda: scenario.node.discovery.last_revision == 2 and scenario.node.member_table.mailbox.empty()
     )
@@ -318,7 +320,7 @@
             close=False,
         )
         assert not scenario.last_attempt_member.startswith("s-1")
-    scenario.run("staff call POST /api/include?name=s-1 200", close=False)
+    scenario.run("operator call POST /api/include?name=s-1 200", close=False)
     eventually(lambda: member_id("s-1") in scenario.node.core.router.endpoints.by_id)
     assert (
         scenario.node.core.member_links.endpoints[member_id("s-1")].dial
@@ -329,15 +331,15 @@
 
 def test_zone_without_caches_is_reported_and_served_by_the_parents() -> None:
     Scenario().run(f"""
-        staff call POST /api/exclude?name=s-1 200 body:out
-        staff call POST /api/exclude?name=s-2 200 body:*no*cache*of*its*location*
+        operator call POST /api/exclude?name=s-1 200 body:out
+        operator call POST /api/exclude?name=s-2 200 body:*no*cache*of*its*location*
         client a send GET {TILE}
         cache expect w at=p-*
         cache send w ok - one
         client a expect 200 body=one
-        staff call POST /api/include?name=s-2 200 body:back*
-        staff call POST /api/exclude?name=p-1 200 body:out
-        staff call POST /api/exclude?name=p-2 200 body:*no*parent*
+        operator call POST /api/include?name=s-2 200 body:back*
+        operator call POST /api/exclude?name=p-1 200 body:out
+        operator call POST /api/exclude?name=p-2 200 body:*no*parent*
     """)
 
 
@@ -352,8 +354,8 @@
     scenario.node.member_table.notify = lambda change: (released.wait(5.0), notify(change))[1]
     scenario.run(
         f"""
-        staff call POST /api/exclude?name=s-1 200
-        staff call POST /api/exclude?name=s-2 200
+        operator call POST /api/exclude?name=s-1 200
+        operator call POST /api/exclude?name=s-2 200
         client a send GET {TILE}
         """,
         close=False,
@@ -374,16 +376,16 @@
     scenario = Scenario()
     listed = scenario.node.member_table.listed_endpoints
     listed[member_id("s-2")] = dataclasses.replace(listed[member_id("s-2")], kind=7)
-    scenario.run("staff call POST /api/exclude?name=s-1 200 body:out")
+    scenario.run("operator call POST /api/exclude?name=s-1 200 body:out")
 
 
 def test_excluded_member_can_be_excluded_again_at_the_limit_of_exclusions() -> None:
     scenario = Scenario()
     with unittest.mock.patch.object(admin_service, "MAX_EXCLUDED_MEMBERS", 1):
         scenario.run("""
-            staff call POST /api/exclude?name=s-1 200
-            staff call POST /api/exclude?name=s-2 507
-            staff call POST /api/exclude?name=s-1 200 body:out*already*
+            operator call POST /api/exclude?name=s-1 200
+            operator call POST /api/exclude?name=s-2 507
+            operator call POST /api/exclude?name=s-1 200 body:out*already*
         """)
 
 
@@ -431,7 +433,7 @@
     folder = scenario.node.admin_service.folder
     assert folder is not None
     with folder.locked():
-        scenario.run("staff call POST /api/exclude?name=s-1 500", close=False)
+        scenario.run("operator call POST /api/exclude?name=s-1 500", close=False)
     eventually(
         lambda: folder.bans_path.exists() and set(parse(folder.bans_path.read_bytes()).excluded) == {"s-1"}
     )
@@ -464,7 +466,7 @@
             sock.settimeout(5.0)
             assert b" 200 " in sock.recv(4096)
         started_s = time.monotonic()
-        scenario.run("staff call POST /api/evacuate 200", close=False)
+        scenario.run("operator call POST /api/evacuate 200", close=False)
         for sock in idle:
             assert not sock.recv(1)
             sock.close()
@@ -490,7 +492,7 @@
             cache send s ok - 8000000
             client two send raw '{get % ("0" * 15 + "1")}{get % ("0" * 15 + "2")}'
             cache expect w
-            staff call POST /api/evacuate 200
+            operator call POST /api/evacuate 200
             cache send w ok - one
             client two expect 200 Connection:close body=one
             client two expect closed
--- a/tests/test_cdni.py
+++ b/tests/test_cdni.py
@@ -80,9 +80,9 @@
     return json.dumps({"cdn-path": path, "max-hops": max_hops, "http": http} | more)
 
 
-def run_scenario(text: str, downstream: str = DOWNSTREAM, link: float = 0.0) -> None:
+def run_scenario(text: str, downstream: str = DOWNSTREAM, link_bytes_per_s: float = 0.0) -> None:
     """Run a scenario with a CDNI front."""
-    Scenario(CONFIG + downstream, link).run(text)
+    Scenario(CONFIG + downstream, link_bytes_per_s).run(text)
 
 
 EXPECT_METADATA_CALL = f"""
@@ -136,7 +136,7 @@
             client u expect 201 place>Location
             client u wait {{place}} 'body=*: "complete"*'
             {fill}
-        """, downstream=DOWNSTREAM_WITHOUT_URLS, link=1e6)  # fmt: skip
+        """, downstream=DOWNSTREAM_WITHOUT_URLS, link_bytes_per_s=1e6)  # fmt: skip
 
     def test_own_metadata_is_served_to_downstream_cdns(self) -> None:
         run_scenario("""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -79,11 +79,11 @@
         with delayed_connects() as gate:
             scenario.run(f"client a send GET {TILE} Req-Wait-Ms:3000", close=False)
             eventually(lambda: has_waiting_attempts(scenario))
-            scenario.run("board expect watch 1", close=False)
+            scenario.run("discovery expect watch 1", close=False)
             # All caches for the attempt change their address: the old ones belong to other members.
             line = '{"host":"%s","dial":"127.0.0.1:1","site":"edge","class":"box"}'
             moved = ",".join(line % name for name in ("s-1", "s-2"))
-            scenario.run(f'board send {{"rev":2,"pool":{{"seq":2,"hosts":[{moved}]}}}}', close=False)
+            scenario.run(f'discovery send {{"rev":2,"pool":{{"seq":2,"hosts":[{moved}]}}}}', close=False)
             wait_for_count(scenario, "ended.outdated", 1)
             gate.set()
         scenario.run("cache expect nothing 50\nclient a expect 50?")
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -233,9 +233,9 @@
 
     def test_drained_members_get_no_requests_and_are_no_source(self) -> None:
         Scenario().run(f"""
-            board expect watch 1
-            board send {{"rev":2,"pool":{{"seq":2,"hosts":[{{line s-1 Terminating}},{{line p-1 Gone}}]}}}}
-            board applied 2
+            discovery expect watch 1
+            discovery send {{"rev":2,"pool":{{"seq":2,"hosts":[{{line s-1 Terminating}},{{line p-1 Gone}}]}}}}
+            discovery applied 2
             client a send GET {TILE}
             cache expect w at=s-2 miss=p-2
             cache send w ok - x
@@ -244,7 +244,7 @@
 
     def test_purge_applies_to_decisions_made_before_the_decision_state_has_it(self) -> None:
         """A decision's knowledge of purges is its table revision, not its time: its turn may be late."""
-        scenario = Scenario(link=1e9, memory_mb=192)
+        scenario = Scenario(link_bytes_per_s=1e9, memory_mb=192)
         notifications: list[object] = []
         scenario.run(f"""
             client a send GET {TILE} X-Batch:17
@@ -257,12 +257,12 @@
             client a expect 200
             client a send GET {TILE} X-Batch:17
             client a expect 200
-            board expect watch 1
+            discovery expect watch 1
         """, close=False)  # fmt: skip
         assert scenario.node.core.counters["answered.local_copy"] == 1
         scenario.node.member_table.notify = notifications.append
         scenario.run("""
-            board send {"rev":2,"flush":{"collection":17,"ms":{now}}}
+            discovery send {"rev":2,"flush":{"collection":17,"ms":{now}}}
         """, close=False)  # fmt: skip
         eventually(lambda: bool(notifications))
         scenario.run(f"""
@@ -276,20 +276,20 @@
 
     def test_purge_bounds_the_age_of_answers_and_an_invalid_line_is_ignored(self) -> None:
         Scenario().run(f"""
-            board expect watch 1
-            board send not json
-            board send {{"rev":2,"flush":{{"collection":18,"ms":{{now}}}}}}
-            board send {{"rev":3,"flush":{{"collection":17,"ms":{{now-500}}}}}}
-            board send 3
-            board applied 3
+            discovery expect watch 1
+            discovery send not json
+            discovery send {{"rev":2,"flush":{{"collection":18,"ms":{{now}}}}}}
+            discovery send {{"rev":3,"flush":{{"collection":17,"ms":{{now-500}}}}}}
+            discovery send 3
+            discovery applied 3
             client a send GET {TILE} X-Batch:17
             cache expect w within=???
             cache send w ok - x
             client a expect 200
             client a send GET {TILE} X-Batch:16
             cache expect w within=
-            board close
-            board expect watch 3
+            discovery close
+            discovery expect watch 3
         """)
 
     def test_invalid_frame_ends_the_member_connection_and_the_request_is_retried(self) -> None:
@@ -401,14 +401,14 @@
         pool = '{"rev":%d,"pool":{"whole":false,"hosts":[{line %s}]}}'
         gone, drains, ready = pool % (2, "s-2 Gone"), pool % (3, "s-1 Terminating"), pool % (4, "s-1 Ready")
         Scenario().run(f"""
-            board expect watch 1
-            board send {gone}
-            board send {drains}
-            board send {ready}
-            board send {drains}
-            board send 4
-            board close
-            board expect watch 4
+            discovery expect watch 1
+            discovery send {gone}
+            discovery send {drains}
+            discovery send {ready}
+            discovery send {drains}
+            discovery send 4
+            discovery close
+            discovery expect watch 4
             client a send GET {TILE}
             cache expect w at=s-1
         """)
@@ -416,57 +416,58 @@
     def test_truncated_event_and_gap_are_requested_again_and_a_lasting_gap_is_skipped(self) -> None:
         flush = '{"rev":%d,"flush":{"collection":17,"ms":{now}}}'
         Scenario().run(f"""
-            board expect watch 1
-            board half {flush % 2} {{"rev":3,"flu
-            board close
-            board expect watch 1
-            board send {flush % 2}
-            board send {flush % 4}
-            board expect watch 2
-            board send {flush % 4}
-            board expect watch 0
-            board send {flush % 4}
-            board send 4
-            board close
-            board expect watch 4
+            discovery expect watch 1
+            discovery half {flush % 2} {{"rev":3,"flu
+            discovery close
+            discovery expect watch 1
+            discovery send {flush % 2}
+            discovery send {flush % 4}
+            discovery expect watch 2
+            discovery send {flush % 4}
+            discovery expect watch 0
+            discovery send {flush % 4}
+            discovery send 4
+            discovery close
+            discovery expect watch 4
         """)
 
     def test_silent_discovery_connection_is_replaced_even_in_the_middle_of_a_line(self) -> None:
         with unittest.mock.patch.object(discovery_client, "SILENCE_TIMEOUT_S", 0.2):
             Scenario().run("""
-                board expect watch 1
-                board expect watch 1
-                board half {"rev":2
-                board expect watch 1
+                discovery expect watch 1
+                discovery expect watch 1
+                discovery half {"rev":2
+                discovery expect watch 1
             """)
 
     def test_new_configuration_reconnects_and_an_invalid_one_changes_nothing(self) -> None:
         Scenario().run(f"""
-            board expect watch 1
+            discovery expect watch 1
             router send HUP bad
-            board send {{"rev":2,"flush":{{"collection":17,"ms":{{now}}}}}}
-            board send 2
-            board close
-            board expect watch 2
+            discovery send {{"rev":2,"flush":{{"collection":17,"ms":{{now}}}}}}
+            discovery send 2
+            discovery close
+            discovery expect watch 2
             router send HUP
-            board expect watch 2
-            board send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {{line s-2 Gone}}]}}}}
-            board close
-            board expect watch 3
+            discovery expect watch 2
+            discovery send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {{line s-2 Gone}}]}}}}
+            discovery close
+            discovery expect watch 3
             client a send GET {TILE}
             cache expect w at=p-*
         """)
 
     def test_removed_members_are_forgotten(self) -> None:
         scenario = Scenario()
+        hosts = "{line p-1 Ready}, {line o-1 Ready}"
         scenario.run(f"""
-            board expect watch 1
-            board send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}]}}}}
-            board applied 2
+            discovery expect watch 1
+            discovery send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}]}}}}
+            discovery applied 2
             client a send GET {TILE}
             cache expect w at=s-2
-            board send {{"rev":3,"pool":{{"whole":true,"hosts":[{{line p-1 Ready}}, {{line o-1 Ready}}]}}}}
-            board applied 3
+            discovery send {{"rev":3,"pool":{{"whole":true,"hosts":[{hosts}]}}}}
+            discovery applied 3
             client b send GET {TILE}?nth=1
             cache expect v at=p-1
         """)
@@ -481,16 +482,16 @@
     def test_new_member_at_a_removed_members_address_gets_new_connections(self) -> None:
         scenario = Scenario()
         scenario.run(f"""
-            board expect watch 1
-            board send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-2 Gone}}]}}}}
-            board applied 2
+            discovery expect watch 1
+            discovery send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-2 Gone}}]}}}}
+            discovery applied 2
             client a send GET {TILE}
             cache expect old at=s-1
         """, close=False)  # fmt: skip
         new = json.dumps(scenario.host_entry("s-1", host="s-9"))
         scenario.run(f"""
-            board send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {new}]}}}}
-            board applied 3
+            discovery send {{"rev":3,"pool":{{"whole":false,"hosts":[{{line s-1 Gone}}, {new}]}}}}
+            discovery applied 3
             client b send GET {TILE}?nth=1
             cache expect fresh at=s-1
             cache send old ok - x
@@ -505,14 +506,14 @@
         pool = '{"rev":%d,"pool":{"whole":false,"hosts":[%s]}}'
         with self.assertLogs("discovery", "WARNING") as logs:
             Scenario().run(f"""
-                board expect watch 1
-                board send {"[" * 200_000}
-                board send {pool % (2, strange)}
-                board send {pool % (2, bare)}
-                board send {pool % (2, "{line s-2 Terminating}")}
-                board send {pool % (2, "{line s-2 Ready}")}
-                board send 2
-                board applied 2
+                discovery expect watch 1
+                discovery send {"[" * 200_000}
+                discovery send {pool % (2, strange)}
+                discovery send {pool % (2, bare)}
+                discovery send {pool % (2, "{line s-2 Terminating}")}
+                discovery send {pool % (2, "{line s-2 Ready}")}
+                discovery send 2
+                discovery applied 2
                 client a send GET {TILE}
                 cache expect w at=s-1
                 cache send w ok - x
@@ -524,12 +525,12 @@
     def test_drains_and_purges_survive_a_silent_discovery_connection(self) -> None:
         with unittest.mock.patch.object(discovery_client, "SILENCE_TIMEOUT_S", 0.2):
             Scenario().run(f"""
-                board expect watch 1
-                board send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-2 Terminating}}]}}}}
-                board send {{"rev":3,"flush":{{"collection":17,"ms":{{now-500}}}}}}
-                board expect watch 3
-                board half {{"rev":4,"pool":{{"whole":true
-                board expect watch 3
+                discovery expect watch 1
+                discovery send {{"rev":2,"pool":{{"whole":false,"hosts":[{{line s-2 Terminating}}]}}}}
+                discovery send {{"rev":3,"flush":{{"collection":17,"ms":{{now-500}}}}}}
+                discovery expect watch 3
+                discovery half {{"rev":4,"pool":{{"whole":true
+                discovery expect watch 3
                 client a send GET {TILE} X-Batch:17
                 cache expect w at=s-1 within=*
                 cache send w ok - x
@@ -652,8 +653,8 @@
         fill = """cache expect w
             cache send w ok entity=t,issued={now},tell=f map
             client a expect 200 body=map"""
-        Scenario(link=1e6).run(f"""
-            board expect watch 1
+        Scenario(link_bytes_per_s=1e6).run(f"""
+            discovery expect watch 1
             {request}
             {fill}
             {request}
@@ -663,8 +664,8 @@
             {request} If-None-Match:"t"
             client a expect 304 ETag:"t"
             cache expect nothing 50
-            board send {{"rev":2,"flush":{{"collection":17,"ms":{{now+1}}}}}}
-            board applied 2
+            discovery send {{"rev":2,"flush":{{"collection":17,"ms":{{now+1}}}}}}
+            discovery applied 2
             {request}
             {fill}
         """)
@@ -674,14 +675,14 @@
             cache expect w
             cache send w ok entity=t,issued={{now}} old
             client a expect 200"""
-        Scenario(link=1e6).run(f"""
-            board expect watch 1
+        Scenario(link_bytes_per_s=1e6).run(f"""
+            discovery expect watch 1
             {fill}
             client a send GET {TILE}
             cache expect w
-            board send {{"rev":2,"flush":{{"asset":"00000000000000aa","ms":{{now-5000}}}}}}
-            board send 2
-            board applied 2
+            discovery send {{"rev":2,"flush":{{"asset":"00000000000000aa","ms":{{now-5000}}}}}}
+            discovery send 2
+            discovery applied 2
             wait 150
             cache send w ok entity=t,issued={{now}} old
             client a expect 200
@@ -697,11 +698,13 @@
         local_copy = f"""client a send GET {TILE}
             client a expect 200
             cache expect nothing 30"""
-        Scenario(link=1e6).run(f"{fill}\n{fill}\n{local_copy}\nwait 1000\n{fill}")
+        Scenario(link_bytes_per_s=1e6).run(f"{fill}\n{fill}\n{local_copy}\nwait 1000\n{fill}")
         fresh_fill = fill.replace("-7000", "")
         # One body takes 400 ms of the link, which is then behind by over a fifth of the objective.
-        Scenario(link=1e5).run(f"{fresh_fill}\n{fresh_fill}\n{local_copy.replace('30', '0')}\n{fresh_fill}")
-        unproved = Scenario(link=1e6)
+        Scenario(link_bytes_per_s=1e5).run(
+            f"{fresh_fill}\n{fresh_fill}\n{local_copy.replace('30', '0')}\n{fresh_fill}"
+        )
+        unproved = Scenario(link_bytes_per_s=1e6)
         unproved.node.member_table.validity.proved_us -= 3_000_000
         unproved.run(f"{fresh_fill}\n{fresh_fill}\n{fresh_fill}")
 
