--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,7 @@
     """Put serial tests in one group, ahead of the others as it takes longest, and mark known failures."""
     for item in items:
         if item.path.stem in SERIAL_TEST_FILES:
-            item.add_marker(pytest.mark.xdist_group("lane"))
+            item.add_marker(pytest.mark.xdist_group("serial"))
     items.sort(key=lambda item: item.path.stem not in SERIAL_TEST_FILES)
     for item in items:
         # An entry is one case of a parametrized test, or a test with all of its cases.
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -147,7 +147,7 @@
         counts = [lease_request_operations(20, budgets) for budgets in (6, 12, 24)]
         assert counts[2] - counts[1] <= LINEAR_GROWTH_BOUNDS[1] * max(1.0, counts[1] - counts[0]), counts
 
-    @pytest.mark.xdist_group("lane")
+    @pytest.mark.xdist_group("serial")
     def test_purge_is_sent_once_per_watcher_at_linear_cost(self) -> None:
         def count_at(size: int) -> float:
             subject = DiscoverySubject(Parameters(size, 3, 1), idle_s=0.0)
@@ -252,7 +252,7 @@
         assert float(rows[0]["missed_cpu_us"]) > 0
 
 
-@pytest.mark.xdist_group("lane")
+@pytest.mark.xdist_group("serial")
 @pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_interrupted_measurement_leaves_no_process(signal_number: signal.Signals) -> None:
     arguments = ["scale", "slope", "discovery", "--sizes", "5", "--repeats", "1000"]
